--- a/tests/forwarder/upgrade.rs
+++ b/tests/forwarder/upgrade.rs
@@ -1,21 +1,21 @@
 //! A new version that takes over while the forwarder serves: what clients, targets and operators notice.
 
-use crate::door::{figure_at, status};
-use crate::world::*;
-use crate::{one_target, MS};
+use crate::admin::{metric, status};
+use crate::harness::*;
+use crate::{start_with_one_target, MILLIS};
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, sleep};
 
 fn is_ready(forwarder: &Forwarder) -> bool {
-    status(&forwarder.operate("GET", "/-/ready")) == "200"
+    status(&forwarder.admin_request("GET", "/-/ready")) == "200"
 }
 
 #[test]
 fn no_message_is_lost_repeated_or_turned_away_while_a_new_version_takes_over() {
-    let (target, platform, mut forwarder) = one_target(|_| Reply::Later(MS(20), 200));
+    let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(20), 200));
     let done = AtomicBool::new(false);
-    let listen = forwarder.listen;
+    let listen = forwarder.listen_address;
     let taken = thread::scope(|scope| {
         let clients: Vec<_> = (0..4)
             .map(|client| {
@@ -24,152 +24,152 @@
                     let mut taken = Vec::new();
                     while !done.load(Ordering::SeqCst) {
                         let id = format!("m{client}-{}", taken.len());
-                        assert_eq!(hand_in_at(listen, &fee(&id)), 202, "{id}");
+                        assert_eq!(submit_at(listen, &fee_message(&id)), 202, "{id}");
                         taken.push(id);
                         // Far less than what it can deliver: nothing is given up for want of room.
-                        sleep(MS(20));
+                        sleep(MILLIS(20));
                     }
                     taken
                 })
             })
             .collect();
         for _ in 0..3 {
-            sleep(MS(200));
+            sleep(MILLIS(200));
             let mut old = forwarder.upgrade();
-            eventually("the new version takes clients", || is_ready(&forwarder));
+            wait_until("the new version takes clients", || is_ready(&forwarder));
             old.signal("TERM");
-            assert!(old.wait().success());
+            assert!(old.wait_for_exit().success());
         }
-        sleep(MS(200));
+        sleep(MILLIS(200));
         done.store(true, Ordering::SeqCst);
-        clients.into_iter().flat_map(|c| c.join().unwrap()).collect::<Vec<_>>()
+        clients.into_iter().flat_map(|client| client.join().unwrap()).collect::<Vec<_>>()
     });
-    eventually("every message is delivered", || target.seen().len() >= taken.len());
-    let (mut ids, mut expected) = (target.ids(), taken);
+    wait_until("every message is delivered", || target.requests().len() >= taken.len());
+    let (mut ids, mut expected) = (target.message_ids(), taken);
     ids.sort();
     expected.sort();
     assert_eq!(ids, expected, "each once");
-    assert!(platform.notices().is_empty());
+    assert!(discovery.notices().is_empty());
 }
 
 #[test]
 fn a_call_in_flight_ends_once_and_in_the_new_versions_figures() {
-    let (target, platform, mut forwarder) = one_target(|_| Reply::Later(MS(1_000), 200));
-    assert_eq!(forwarder.hand_in(&fee("slow")), 202);
-    eventually("the call", || target.ids() == ["slow"]);
+    let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(1_000), 200));
+    assert_eq!(forwarder.submit(&fee_message("slow")), 202);
+    wait_until("the call", || target.message_ids() == ["slow"]);
     let mut old = forwarder.upgrade();
-    eventually("the new version takes clients", || is_ready(&forwarder));
-    assert_eq!(figure_at(&forwarder, "active"), 1);
-    assert!(!old.operate("GET", "/-/ready").starts_with("HTTP/1.1 2"), "the old one still says ready");
-    eventually("delivered", || figure_at(&forwarder, "responses.fee.ok") == 1);
-    assert_eq!(figure_at(&forwarder, "active"), 0);
-    assert!(old.wait().success(), "nothing is left for the old one to do");
-    assert_eq!(target.ids(), ["slow"]);
-    assert!(platform.notices().is_empty());
+    wait_until("the new version takes clients", || is_ready(&forwarder));
+    assert_eq!(metric(&forwarder, "active"), 1);
+    assert!(!old.admin_request("GET", "/-/ready").starts_with("HTTP/1.1 2"), "the old one still says ready");
+    wait_until("delivered", || metric(&forwarder, "responses.fee.ok") == 1);
+    assert_eq!(metric(&forwarder, "active"), 0);
+    assert!(old.wait_for_exit().success(), "nothing is left for the old one to do");
+    assert_eq!(target.message_ids(), ["slow"]);
+    assert!(discovery.notices().is_empty());
 }
 
 #[test]
 fn a_call_that_dies_with_the_old_process_may_have_run() {
-    let (target, platform, mut forwarder) = one_target(|_| Reply::Silence);
-    assert_eq!(forwarder.hand_in(&fee("unsafe")), 202);
-    eventually("the call", || target.ids() == ["unsafe"]);
+    let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::NoResponse);
+    assert_eq!(forwarder.submit(&fee_message("unsafe")), 202);
+    wait_until("the call", || target.message_ids() == ["unsafe"]);
     let mut old = forwarder.upgrade();
-    eventually("the new version takes clients", || is_ready(&forwarder));
-    sleep(MS(200));
-    assert!(platform.notices().is_empty(), "ended though its call is out");
+    wait_until("the new version takes clients", || is_ready(&forwarder));
+    sleep(MILLIS(200));
+    assert!(discovery.notices().is_empty(), "ended though its call is out");
     old.signal("KILL");
-    old.wait();
-    eventually("the notice", || platform.has("unsafe", "given_up"));
-    assert_eq!(target.ids(), ["unsafe"]);
+    old.wait_for_exit();
+    wait_until("the notice", || discovery.has_notice("unsafe", "given_up"));
+    assert_eq!(target.message_ids(), ["unsafe"]);
 }
 
 #[test]
 fn told_waits_and_endpoints_out_hold_in_the_new_version() {
     let (shut, other) =
-        (Server::start(|_| Reply::Status(429, "X-Come-Back-Ms: 4000\r\n")), Server::start(|_| OK));
-    let third = Server::start(|_| OK);
+        (HttpServer::start(|_| Response::Status(429, "X-Come-Back-Ms: 4000\r\n")), HttpServer::start(|_| OK));
+    let third = HttpServer::start(|_| OK);
     let lines = vec![
-        line("s-1", shut.address, 1, "active"),
-        line("s-2", other.address, 2, "active"),
-        line("s-3", third.address, 2, "active"),
+        list_entry("s-1", shut.address, 1, "active"),
+        list_entry("s-2", other.address, 2, "active"),
+        list_entry("s-3", third.address, 2, "active"),
     ];
-    let platform = Platform::start(lines);
-    let mut forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    eventually("the call", || shut.seen().len() == 1);
-    shut.behave(|_| OK);
-    assert_eq!(status(&forwarder.operate("POST", "/-/endpoints/s-3/disable")), "200");
+    let discovery = DiscoveryServer::start(lines);
+    let mut forwarder = Forwarder::start(&discovery);
+    assert_eq!(forwarder.submit(&fee_message("m1")), 202);
+    wait_until("the call", || shut.requests().len() == 1);
+    shut.set_handler(|_| OK);
+    assert_eq!(status(&forwarder.admin_request("POST", "/-/endpoints/s-3/disable")), "200");
     let mut old = forwarder.upgrade();
-    eventually("the new version takes clients", || is_ready(&forwarder));
+    wait_until("the new version takes clients", || is_ready(&forwarder));
     old.signal("TERM");
-    old.wait();
-    assert_eq!(figure_at(&forwarder, "pool_size"), 3);
-    assert!(figure_at(&forwarder, "pool_ejected") >= 1);
+    old.wait_for_exit();
+    assert_eq!(metric(&forwarder, "pool_size"), 3);
+    assert!(metric(&forwarder, "pool_ejected") >= 1);
     for n in 0..6 {
-        assert_eq!(forwarder.hand_in(&fee(&format!("n{n}")).to(2)), 202);
+        assert_eq!(forwarder.submit(&fee_message(&format!("n{n}")).to(2)), 202);
     }
-    eventually("the calls", || other.seen().len() == 6);
-    eventually("the call after the wait", || shut.seen().len() == 2);
-    assert!(shut.seen()[1].at - shut.seen()[0].at >= MS(4_000));
-    assert!(third.seen().is_empty());
-    assert_eq!(status(&forwarder.operate("POST", "/-/endpoints/s-3/enable")), "200");
+    wait_until("the calls", || other.requests().len() == 6);
+    wait_until("the call after the wait", || shut.requests().len() == 2);
+    assert!(shut.requests()[1].received_at - shut.requests()[0].received_at >= MILLIS(4_000));
+    assert!(third.requests().is_empty());
+    assert_eq!(status(&forwarder.admin_request("POST", "/-/endpoints/s-3/enable")), "200");
 }
 
 #[test]
 fn a_client_may_go_on_with_the_connection_that_it_has() {
-    let (target, _platform, mut forwarder) = one_target(|_| OK);
-    let mut kept = std::net::TcpStream::connect(forwarder.listen).unwrap();
-    kept.set_read_timeout(Some(PATIENCE)).unwrap();
-    let text = String::from_utf8(fee("kept").bytes()).unwrap().replace("Connection: close\r\n", "");
+    let (target, _discovery, mut forwarder) = start_with_one_target(|_| OK);
+    let mut kept = std::net::TcpStream::connect(forwarder.listen_address).unwrap();
+    kept.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
+    let text = String::from_utf8(fee_message("kept").bytes()).unwrap().replace("Connection: close\r\n", "");
     // The first half is with the old process when the new one takes over.
     let (first, rest) = text.as_bytes().split_at(40);
     kept.write_all(first).unwrap();
-    sleep(MS(100));
+    sleep(MILLIS(100));
     let mut old = forwarder.upgrade();
-    eventually("the new version takes clients", || is_ready(&forwarder));
+    wait_until("the new version takes clients", || is_ready(&forwarder));
     kept.write_all(rest).unwrap();
     let mut answer = String::new();
     kept.read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 202") && answer.contains("connection: close"), "{answer}");
-    eventually("the call", || target.ids() == ["kept"]);
-    eventually("counted where it was taken on", || figure_at(&forwarder, "responses.fee.ok") == 1);
-    assert!(old.wait().success());
+    wait_until("the call", || target.message_ids() == ["kept"]);
+    wait_until("counted where it was taken on", || metric(&forwarder, "responses.fee.ok") == 1);
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
 fn a_new_version_that_cannot_meet_the_old_one_waits_for_its_end() {
-    let (target, _platform, mut forwarder) = one_target(|_| OK);
+    let (target, _discovery, mut forwarder) = start_with_one_target(|_| OK);
     // Nothing is listed for it yet.
-    assert_eq!(forwarder.hand_in(&fee("held").to(2)), 202);
+    assert_eq!(forwarder.submit(&fee_message("held").to(2)), 202);
     forwarder.signal("STOP");
     let mut old = forwarder.upgrade();
-    eventually("the new version's door", || !forwarder.operate("GET", "/-/ready").is_empty());
+    wait_until("the new version's door", || !forwarder.admin_request("GET", "/-/ready").is_empty());
     for _ in 0..3 {
         assert!(!is_ready(&forwarder), "two own the log");
     }
     old.signal("KILL");
-    old.wait();
-    eventually("the new version takes clients", || is_ready(&forwarder));
-    assert_eq!(figure_at(&forwarder, "active"), 1);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    eventually("the call", || target.ids() == ["m1"]);
+    old.wait_for_exit();
+    wait_until("the new version takes clients", || is_ready(&forwarder));
+    assert_eq!(metric(&forwarder, "active"), 1);
+    assert_eq!(forwarder.submit(&fee_message("m1")), 202);
+    wait_until("the call", || target.message_ids() == ["m1"]);
 }
 
 #[test]
 fn the_old_process_serves_again_when_the_new_one_dies() {
-    let (target, _platform, mut forwarder) = one_target(|_| Reply::Later(MS(4_000), 200));
-    assert_eq!(forwarder.hand_in(&update("m1", "k")), 202);
-    eventually("the call", || target.ids() == ["m1"]);
+    let (target, _discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(4_000), 200));
+    assert_eq!(forwarder.submit(&update_message("m1", "k")), 202);
+    wait_until("the call", || target.message_ids() == ["m1"]);
     let old = forwarder.upgrade();
-    eventually("the new version takes clients", || is_ready(&forwarder));
-    assert_eq!(forwarder.hand_in(&fee("held").to(2)), 202);
+    wait_until("the new version takes clients", || is_ready(&forwarder));
+    assert_eq!(forwarder.submit(&fee_message("held").to(2)), 202);
     forwarder.kill();
     // By then it has read the configuration anew.
-    eventually("the old one takes clients", || is_ready(&forwarder));
-    target.behave(|_| OK);
-    assert_eq!(forwarder.hand_in(&fee("m2")), 202);
-    eventually("the call", || target.ids().contains(&"m2".to_string()));
+    wait_until("the old one takes clients", || is_ready(&forwarder));
+    target.set_handler(|_| OK);
+    assert_eq!(forwarder.submit(&fee_message("m2")), 202);
+    wait_until("the call", || target.message_ids().contains(&"m2".to_string()));
     // What the new one had taken on is in the log.
-    assert!(figure_at(&forwarder, "active") >= 1);
+    assert!(metric(&forwarder, "active") >= 1);
     drop(old);
 }
