--- a/tests/forwarder/edge_cases.rs
+++ b/tests/forwarder/edge_cases.rs
@@ -1,4 +1,4 @@
-//! What is still owed at the instant at which something ends: each crossing is forced.
+//! Restarts, discovery failures and closing connections, each forced at an unfavourable moment.
 
 use crate::harness::*;
 use crate::{start_with_one_target, MILLIS};
@@ -8,19 +8,19 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// Lines of the list for so many destinations at one server, with a limit of so many calls a second each.
-fn destinations(server: &HttpServer, count: u32, limit: f64) -> Vec<serde_json::Value> {
-    let line = |n: u32| {
-        let mut line = list_entry(&format!("s-{n}"), server.address, n, "active");
-        line["weight"] = limit.into();
-        line
+/// List entries of `count` destinations at one server, each with a limit of `rate_limit` calls per second.
+fn destination_entries(server: &HttpServer, count: u32, rate_limit: f64) -> Vec<serde_json::Value> {
+    let entry = |n: u32| {
+        let mut entry = list_entry(&format!("s-{n}"), server.address, n, "active");
+        entry["weight"] = rate_limit.into();
+        entry
     };
-    (1..=count).map(line).collect()
+    (1..=count).map(entry).collect()
 }
 
-/// A fleet of 300 under a listed limit: each process that came back made its first call to a destination within 50 s,
-/// and gave up what it had found.
-fn what_is_left_untried_is_tried(signal: &str) {
+/// In a fleet of 300 with a listed rate limit, a restarted process took up to 50 s to make its first call to a
+/// destination, and gave up the messages that it had restored from the write-ahead log.
+fn assert_untried_messages_are_sent_after(signal: &str) {
     let target = HttpServer::start(|_| OK);
     let discovery = DiscoveryServer::start(Vec::new());
     let mut forwarder = Forwarder::start_with(&discovery, |config| {
@@ -34,202 +34,220 @@
     forwarder.signal(signal);
     let _ = forwarder.wait_for_exit();
     assert!(target.requests().is_empty() && discovery.notices().is_empty());
-    discovery.change_list(destinations(&target, 10, 6.0));
+    discovery.change_list(destination_entries(&target, 10, 6.0));
     forwarder.restart();
-    wait_until("each has a call", || ids.iter().all(|id| target.message_ids().contains(id)));
+    wait_until("the target receives each message", || ids.iter().all(|id| target.message_ids().contains(id)));
     assert_eq!(target.requests().len(), 10);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
 #[test]
-fn what_sigkill_leaves_untried_is_tried() {
-    what_is_left_untried_is_tried("KILL");
+fn untried_messages_are_sent_after_sigkill() {
+    assert_untried_messages_are_sent_after("KILL");
 }
 
 #[test]
-fn what_sigterm_leaves_untried_is_tried() {
-    what_is_left_untried_is_tried("TERM");
+fn untried_messages_are_sent_after_sigterm() {
+    assert_untried_messages_are_sent_after("TERM");
 }
 
-/// What a silent watch misses binds 6 s after it fell silent, and 4 s after SIGHUP, in fleets of any size.
+/// A change that a silent watch misses is binding 6 s after the watch fell silent, or 4 s after SIGHUP, in fleets of
+/// any size.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_in_time() {
+fn a_silent_watch_is_reopened_in_time() {
     let target = HttpServer::start(|_| OK);
-    let discoveries: Vec<_> = ["pushed", "on_request"]
+    let servers: Vec<_> = ["pushed", "on_request"]
         .into_iter()
-        .flat_map(|how| [1, 4, 5, 300].map(|size| (how, size)))
-        .map(|(how, size)| {
+        .flat_map(|mode| [1, 4, 5, 300].map(|replicas| (mode, replicas)))
+        .map(|(mode, replicas)| {
             let discovery = DiscoveryServer::start(vec![list_entry("s-1", target.address, 1, "active")]);
-            discovery.server.set_handler(|_| Response::NoResponse);
+            discovery.server.set_handler(|_| Response::Silent);
             let forwarder = Forwarder::start_with(&discovery, |config| {
                 (config["settings"]["balancers"], config["settings"]["discovery"]) =
-                    (size.into(), how.into());
+                    (replicas.into(), mode.into());
             });
-            (how, size, discovery, forwarder)
+            (mode, replicas, discovery, forwarder)
         })
         .collect();
-    for (how, size, discovery, _forwarder) in &discoveries {
-        wait_until("it is asked again", || discovery.server.requests().len() > 1);
-        let seen = discovery.server.requests();
-        let gap = seen[1].received_at - seen[0].received_at;
-        assert!(gap < MILLIS(5_500), "{how}, {size} forwarders: opened anew after {gap:?}");
+    for (mode, replicas, discovery, _forwarder) in &servers {
+        wait_until("the forwarder asks discovery again", || discovery.server.requests().len() > 1);
+        let requests = discovery.server.requests();
+        let gap = requests[1].received_at - requests[0].received_at;
+        assert!(gap < MILLIS(5_500), "{mode}, {replicas} forwarders: reopened after {gap:?}");
     }
 }
 
-/// What discovery has binds 6 s later, whatever became of the calls before; a fleet of any size may be told on request.
+/// A change is binding 6 s after discovery has it, whatever became of earlier calls. Lists may be served on request to
+/// fleets of any size.
 #[test]
-fn a_change_is_asked_for_in_time_after_calls_that_were_turned_away_or_met_silence() {
-    const BUSY: Response = Response::Status(503, "Connection: close\r\n");
-    let fates =
-        [vec![BUSY], vec![BUSY, BUSY], vec![BUSY, Response::NoResponse], vec![Response::NoResponse, BUSY]];
+fn discovery_is_asked_again_in_time_after_failed_calls() {
+    const OVERLOADED: Response = Response::Status(503, "Connection: close\r\n");
+    let failures = [
+        vec![OVERLOADED],
+        vec![OVERLOADED, OVERLOADED],
+        vec![OVERLOADED, Response::Silent],
+        vec![Response::Silent, OVERLOADED],
+    ];
     let target = HttpServer::start(|_| OK);
     let watches: Vec<_> = ["pushed", "on_request"]
         .into_iter()
-        .flat_map(|how| [4, 350].map(|size| (how, size)))
-        .flat_map(|(how, size)| fates.clone().map(|fates| (how, size, fates)))
-        .map(|(how, size, fates)| {
+        .flat_map(|mode| [4, 350].map(|replicas| (mode, replicas)))
+        .flat_map(|(mode, replicas)| failures.clone().map(|failures| (mode, replicas, failures)))
+        .map(|(mode, replicas, failures)| {
             let discovery = DiscoveryServer::start(vec![list_entry("s-1", target.address, 1, "active")]);
-            let (met, calls) = (fates.len(), AtomicUsize::new(0));
+            let (failure_count, calls) = (failures.len(), AtomicUsize::new(0));
             discovery.server.set_handler(move |_| {
-                fates.get(calls.fetch_add(1, Ordering::Relaxed)).cloned().unwrap_or(Response::Close)
+                failures.get(calls.fetch_add(1, Ordering::Relaxed)).cloned().unwrap_or(Response::Close)
             });
             let start = Instant::now();
             let forwarder = Forwarder::start_with(&discovery, |config| {
                 (config["settings"]["balancers"], config["settings"]["discovery"]) =
-                    (size.into(), how.into());
+                    (replicas.into(), mode.into());
             });
-            (how, size, met, start, discovery, forwarder)
+            (mode, replicas, failure_count, start, discovery, forwarder)
         })
         .collect();
-    for (how, size, met, start, discovery, _forwarder) in &watches {
-        wait_until("a call after these", || discovery.server.requests().len() > *met);
-        let seen = discovery.server.requests();
-        let (gap, begun) = (seen[*met].received_at - seen[0].received_at, seen[1].received_at - *start);
-        assert!(gap < MILLIS(6_000), "{how}, {size} forwarders: a call {gap:?} after one that failed");
-        // The start of the process counts in.
-        assert!(begun < MILLIS(7_500), "{how}, {size} forwarders: a second call {begun:?} after the start");
+    for (mode, replicas, failure_count, start, discovery, _forwarder) in &watches {
+        wait_until("the forwarder asks discovery after the failures", || {
+            discovery.server.requests().len() > *failure_count
+        });
+        let requests = discovery.server.requests();
+        let (gap, second_call_delay) = (
+            requests[*failure_count].received_at - requests[0].received_at,
+            requests[1].received_at - *start,
+        );
+        assert!(gap < MILLIS(6_000), "{mode}, {replicas} forwarders: a call {gap:?} after a failed one");
+        // This includes the start of the process.
+        assert!(
+            second_call_delay < MILLIS(7_500),
+            "{mode}, {replicas} forwarders: a second call {second_call_delay:?} after the start"
+        );
     }
 }
 
 #[test]
-fn after_sighup_a_silent_discovery_is_asked_again_in_time() {
+fn a_silent_discovery_is_asked_again_in_time_after_sighup() {
     let target = HttpServer::start(|_| OK);
-    for how in ["pushed", "on_request"] {
+    for mode in ["pushed", "on_request"] {
         let discovery = DiscoveryServer::start(vec![list_entry("s-1", target.address, 1, "active")]);
         let forwarder =
-            Forwarder::start_with(&discovery, |config| config["settings"]["discovery"] = how.into());
-        wait_until("a watch", || !discovery.server.requests().is_empty());
-        let moved = DiscoveryServer::start(vec![list_entry("s-1", target.address, 1, "active")]);
-        moved.server.set_handler(|_| Response::NoResponse);
-        forwarder.reload(&moved);
-        wait_until("it is asked again", || moved.server.requests().len() > 1);
-        let seen = moved.server.requests();
-        let gap = seen[1].received_at - seen[0].received_at;
-        assert!(gap < MILLIS(3_700), "{how}: asked again after {gap:?}");
+            Forwarder::start_with(&discovery, |config| config["settings"]["discovery"] = mode.into());
+        wait_until("the forwarder opens a watch", || !discovery.server.requests().is_empty());
+        let new_discovery = DiscoveryServer::start(vec![list_entry("s-1", target.address, 1, "active")]);
+        new_discovery.server.set_handler(|_| Response::Silent);
+        forwarder.reload(&new_discovery);
+        wait_until("the forwarder asks discovery again", || new_discovery.server.requests().len() > 1);
+        let requests = new_discovery.server.requests();
+        let gap = requests[1].received_at - requests[0].received_at;
+        assert!(gap < MILLIS(3_700), "{mode}: asked again after {gap:?}");
     }
 }
 
-/// Another discovery counts its versions anew. What it drains is drained; what had been drained stays so.
+/// Another discovery server numbers its versions independently. Targets that it lists as leaving are drained; those
+/// that were drained before stay drained.
 #[test]
-fn a_discovery_that_counts_lower_is_heard_and_revives_nothing() {
-    let (old, new, gone) = (HttpServer::start(|_| OK), HttpServer::start(|_| OK), HttpServer::start(|_| OK));
+fn a_discovery_with_lower_versions_is_obeyed_and_revives_no_target() {
+    let (old, new, drained) =
+        (HttpServer::start(|_| OK), HttpServer::start(|_| OK), HttpServer::start(|_| OK));
     let discovery = DiscoveryServer::start(vec![
         list_entry("s-1", old.address, 1, "active"),
-        list_entry("s-9", gone.address, 9, "active"),
+        list_entry("s-9", drained.address, 9, "active"),
     ]);
     let forwarder = Forwarder::start(&discovery);
     for _ in 0..3 {
         discovery.change_list(vec![
             list_entry("s-1", old.address, 1, "active"),
-            list_entry("s-9", gone.address, 9, "leaving"),
+            list_entry("s-9", drained.address, 9, "leaving"),
         ]);
-        wait_until("the list is told", || discovery.has_sent_list());
+        wait_until("the forwarder receives the list", || discovery.has_sent_list());
     }
-    let moved = DiscoveryServer::start(vec![
+    let new_discovery = DiscoveryServer::start(vec![
         list_entry("s-1", old.address, 1, "leaving"),
         list_entry("s-2", new.address, 1, "active"),
-        list_entry("s-9", gone.address, 9, "active"),
+        list_entry("s-9", drained.address, 9, "active"),
     ]);
-    forwarder.reload(&moved);
-    wait_until("the list is told", || moved.has_sent_list());
+    forwarder.reload(&new_discovery);
+    wait_until("the forwarder receives the list", || new_discovery.has_sent_list());
     assert_eq!(forwarder.submit(&fee_message("drained").to(9).with_deadline_ms(1_000)), 202);
     assert_eq!(forwarder.submit(&fee_message("m1")), 202);
-    wait_until("the call", || !old.requests().is_empty() || !new.requests().is_empty());
+    wait_until("a target receives the call", || !old.requests().is_empty() || !new.requests().is_empty());
     assert!(old.requests().is_empty(), "a drained target got a call");
-    wait_until("its end", || discovery.notices().len() + moved.notices().len() == 1);
-    assert!(gone.requests().is_empty(), "a drained target got a call");
+    wait_until("the message is reported", || discovery.notices().len() + new_discovery.notices().len() == 1);
+    assert!(drained.requests().is_empty(), "a drained target got a call");
 }
 
-/// Zones that the settings do not name are zones all the same: a repeat that is bound to one stays there.
+/// Zones that the settings do not name are zones too: a retry that is bound to one stays in it.
 #[test]
-fn a_repeat_stays_in_its_zone_also_where_the_settings_do_not_name_it() {
+fn a_retry_stays_in_its_zone_even_if_the_settings_do_not_name_it() {
     let (first, other) = (HttpServer::start(|_| Response::Close), HttpServer::start(|_| OK));
     let zoned = |id: &str, server: &HttpServer, zone: &str| {
-        let mut line = list_entry(id, server.address, 1, "active");
-        line["zone"] = zone.into();
-        line
+        let mut entry = list_entry(id, server.address, 1, "active");
+        entry["zone"] = zone.into();
+        entry
     };
-    // Only the first is there when the first attempt is made.
+    // At the time of the first attempt only the first target is listed.
     let discovery = DiscoveryServer::start(vec![zoned("s-1", &first, "north")]);
     let forwarder = Forwarder::start_with(&discovery, |config| {
         config["settings"]["categories"][0]["group"] = "zone".into()
     });
     assert_eq!(forwarder.submit(&update_message("m1", "k").with_deadline_ms(4_000)), 202);
-    wait_until("the first attempt", || !first.requests().is_empty());
+    wait_until("the first target receives the call", || !first.requests().is_empty());
     discovery.change_list(vec![zoned("s-1", &first, "north"), zoned("s-2", &other, "south")]);
-    wait_until("its end", || discovery.notices().len() == 1);
-    assert!(other.requests().is_empty(), "a repeat went to another zone");
+    wait_until("the message is reported", || discovery.notices().len() == 1);
+    assert!(other.requests().is_empty(), "a retry went to another zone");
 }
 
-/// A client may wait long before it sends its next request; what has begun to come is then owed its answer. Cut in its
-/// head: the rest comes when the connection has been open for longer than idle ones may be.
+/// A client may send its next request late; once a part of it has arrived, it gets a response. The request is split
+/// within its head, and the rest arrives after the connection has been open for longer than the idle timeout.
 #[test]
-fn a_request_that_begins_as_its_idle_connection_is_to_close_is_answered() {
+fn a_request_that_begins_just_before_the_idle_timeout_gets_a_response() {
     let (_target, _discovery, forwarder) = start_with_one_target(|_| OK);
-    let ask = |idle: u64| {
-        let mut kept = forwarder.connect();
-        kept.get("/healthz").expect("an answer");
-        sleep(MILLIS(idle));
-        kept.get_in_two_parts("/healthz", MILLIS(2_300 - idle))
+    let gets_response = |idle_ms: u64| {
+        let mut connection = forwarder.connect();
+        connection.get("/healthz").expect("a response");
+        sleep(MILLIS(idle_ms));
+        connection.get_in_two_parts("/healthz", MILLIS(2_300 - idle_ms))
     };
-    let answered: Vec<_> = std::thread::scope(|scope| {
-        let asked: Vec<_> =
-            [1_400, 1_500, 1_600, 1_700, 1_800, 1_900].map(|idle| scope.spawn(move || ask(idle))).into();
-        asked.into_iter().map(|a| a.join().expect("no panic")).collect()
+    let responded: Vec<_> = std::thread::scope(|scope| {
+        let clients: Vec<_> = [1_400, 1_500, 1_600, 1_700, 1_800, 1_900]
+            .map(|idle_ms| scope.spawn(move || gets_response(idle_ms)))
+            .into();
+        clients.into_iter().map(|client| client.join().expect("no panic")).collect()
     });
-    // Some may be late on a slow machine. Cut off with the idle ones, none was answered.
-    assert!(answered.contains(&true), "{answered:?}");
+    // Some may be late on a slow machine. When such connections were closed as idle, none got a response.
+    assert!(responded.contains(&true), "{responded:?}");
 }
 
-/// A process that ends while a connection comes up has sent nothing: an unsafe message is still to be tried.
+/// A process that is killed while a connection is being established has sent nothing: even an unsafe message is
+/// retried.
 #[test]
-fn a_call_whose_connection_had_not_come_up_at_a_kill_has_not_run() {
-    let late = TcpListener::bind("127.0.0.1:0").unwrap();
-    // With no room in its queue but for the first, the system drops what comes.
-    rustix::net::listen(&late, 0).unwrap();
-    let address = late.local_addr().unwrap();
-    let first = TcpStream::connect(address).unwrap();
+fn a_call_killed_before_it_was_connected_has_not_run() {
+    let late_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    // The accept queue holds one connection: the system drops further SYN packets.
+    rustix::net::listen(&late_listener, 0).unwrap();
+    let address = late_listener.local_addr().unwrap();
+    let queued = TcpStream::connect(address).unwrap();
     let discovery = DiscoveryServer::start(vec![list_entry("s-1", address, 1, "active")]);
     let mut forwarder = Forwarder::start_with(&discovery, |config| {
         config["settings"]["limits"]["dial_timeout"] = 20_000_000.into()
     });
     assert_eq!(forwarder.submit(&fee_message("m1")), 202);
-    // The call is decided within milliseconds.
+    // The forwarder decides on the call within milliseconds.
     sleep(MILLIS(300));
     forwarder.kill();
-    drop(first);
-    let target = HttpServer::start_on(late, |_| OK);
+    drop(queued);
+    let target = HttpServer::start_on(late_listener, |_| OK);
     forwarder.restart();
-    wait_until("its call or its end", || {
+    wait_until("the message is sent or reported", || {
         target.requests().iter().any(|request| request.path == "/v1/messages")
             || !discovery.notices().is_empty()
     });
     assert_eq!(discovery.notices(), []);
 }
 
-/// Discovery is down when the process comes back: what its predecessor was told binds it from its first moment.
+/// Discovery is down when the process restarts: the last list that it received before holds from the start.
 #[test]
-fn a_drain_outlasts_the_process_though_discovery_is_silent() {
+fn a_drain_outlasts_a_restart_while_discovery_is_silent() {
     let (old, new) = (HttpServer::start(|_| OK), HttpServer::start(|_| OK));
     let discovery = DiscoveryServer::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let mut forwarder = Forwarder::start(&discovery);
@@ -237,73 +255,76 @@
         list_entry("s-1", old.address, 1, "leaving"),
         list_entry("s-2", new.address, 1, "active"),
     ]);
-    wait_until("the list is told", || discovery.has_sent_list());
-    discovery.server.set_handler(|_| Response::NoResponse);
+    wait_until("the forwarder receives the list", || discovery.has_sent_list());
+    discovery.server.set_handler(|_| Response::Silent);
     forwarder.kill();
     forwarder.restart();
     assert_eq!(forwarder.submit(&fee_message("m1")), 202);
-    wait_until("the call", || !old.requests().is_empty() || !new.requests().is_empty());
+    wait_until("a target receives the call", || !old.requests().is_empty() || !new.requests().is_empty());
     assert!(old.requests().is_empty(), "a drained target got a call");
 }
 
-/// Lists and fleets of over a thousand: start, change, restart while discovery is silent, hand-over, figures.
+/// A list and a fleet of 1024: start, list change, restart while discovery is silent, hot restart and metrics.
 #[test]
-fn a_thousand_endpoints_and_forwarders_are_no_limit() {
-    const MANY: u32 = 1024;
+fn a_thousand_endpoints_and_replicas_are_supported() {
+    const COUNT: u32 = 1024;
     let (old, new) = (HttpServer::start(|_| OK), HttpServer::start(|_| OK));
-    let lines = |of_1: &[(&str, &HttpServer, &str)]| {
-        let fixed = of_1.iter().map(|(id, server, state)| list_entry(id, server.address, 1, state));
-        let rest = of_1.len() as u32..MANY;
+    let entries = |of_destination_1: &[(&str, &HttpServer, &str)]| {
+        let fixed =
+            of_destination_1.iter().map(|(id, server, state)| list_entry(id, server.address, 1, state));
+        let rest = of_destination_1.len() as u32..COUNT;
         fixed
             .chain(rest.map(|n| list_entry(&format!("t-{n}"), new.address, n + 1, "active")))
             .collect::<Vec<_>>()
     };
-    let discovery = DiscoveryServer::start(lines(&[("s-1", &old, "active")]));
+    let discovery = DiscoveryServer::start(entries(&[("s-1", &old, "active")]));
     let mut forwarder =
-        Forwarder::start_with(&discovery, |config| config["settings"]["balancers"] = MANY.into());
-    let listed = |forwarder: &Forwarder| crate::admin::metric(forwarder, "pool_size");
-    wait_until("all endpoints", || listed(&forwarder) == u64::from(MANY));
-    discovery.change_list(lines(&[("s-1", &old, "leaving"), ("s-2", &new, "active")]));
-    wait_until("the list is told", || discovery.has_sent_list());
-    discovery.server.set_handler(|_| Response::NoResponse);
+        Forwarder::start_with(&discovery, |config| config["settings"]["balancers"] = COUNT.into());
+    let listed_endpoints = |forwarder: &Forwarder| crate::admin::metric(forwarder, "pool_size");
+    wait_until("all endpoints are listed", || listed_endpoints(&forwarder) == u64::from(COUNT));
+    discovery.change_list(entries(&[("s-1", &old, "leaving"), ("s-2", &new, "active")]));
+    wait_until("the forwarder receives the list", || discovery.has_sent_list());
+    discovery.server.set_handler(|_| Response::Silent);
     forwarder.kill();
     forwarder.restart();
-    assert_eq!(listed(&forwarder), u64::from(MANY));
+    assert_eq!(listed_endpoints(&forwarder), u64::from(COUNT));
     assert_eq!(forwarder.submit(&fee_message("m1")), 202);
-    wait_until("the call", || !old.requests().is_empty() || !new.requests().is_empty());
-    let mut previous = forwarder.upgrade();
-    previous.wait_for_exit();
-    assert_eq!(listed(&forwarder), u64::from(MANY));
+    wait_until("a target receives the call", || !old.requests().is_empty() || !new.requests().is_empty());
+    let mut old_process = forwarder.start_successor();
+    old_process.wait_for_exit();
+    assert_eq!(listed_endpoints(&forwarder), u64::from(COUNT));
     assert_eq!(forwarder.submit(&fee_message("m2")), 202);
-    wait_until("the call", || new.message_ids() == ["m1", "m2"]);
+    wait_until("a target receives the call", || new.message_ids() == ["m1", "m2"]);
     assert!(old.requests().is_empty(), "a drained target got a call");
 }
 
-/// Clients that send much and go, and answers that never end, leave no descriptor behind.
+/// Clients that send much and disconnect, and responses that never end, leave no descriptor open.
 #[test]
-fn what_bad_peers_held_is_free_again() {
+fn descriptors_of_misbehaving_peers_are_released() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| OK);
     let descriptors = |forwarder: &Forwarder| forwarder.open_descriptors();
     assert_eq!(forwarder.submit(&fee_message("m0")), 202);
-    wait_until("the call", || !target.requests().is_empty());
+    wait_until("a target receives the call", || !target.requests().is_empty());
     sleep(MILLIS(300));
     let before = descriptors(&forwarder);
     target.set_handler(|_| Response::EndlessBody);
     for n in 0..40 {
-        let mut much = TcpStream::connect(forwarder.listen_address).unwrap();
+        let mut large_request = TcpStream::connect(forwarder.listen_address).unwrap();
         let head = format!(
             "POST /fee HTTP/1.1\r\nHost: f\r\nX-Request-Id: b{n}\r\nContent-Length: 90000000\r\n\r\n"
         );
-        let _ = much.write_all(head.as_bytes()).and_then(|()| much.write_all(&vec![b'x'; 1 << 20]));
-        drop(much);
-        let mut half = TcpStream::connect(forwarder.listen_address).unwrap();
-        half.write_all(&head.as_bytes()[..40]).unwrap();
-        drop(half);
+        let _ = large_request
+            .write_all(head.as_bytes())
+            .and_then(|()| large_request.write_all(&vec![b'x'; 1 << 20]));
+        drop(large_request);
+        let mut partial_head = TcpStream::connect(forwarder.listen_address).unwrap();
+        partial_head.write_all(&head.as_bytes()[..40]).unwrap();
+        drop(partial_head);
     }
     for n in 0..8 {
         assert_eq!(forwarder.submit(&fee_message(&format!("e{n}")).with_deadline_ms(1_500)), 202);
     }
-    wait_until("all calls", || target.requests().len() > 8);
-    wait_until("what was held is free", || descriptors(&forwarder) <= before + 1);
+    wait_until("the target receives all calls", || target.requests().len() > 8);
+    wait_until("the descriptors are released", || descriptors(&forwarder) <= before + 1);
     assert!(forwarder.is_running() && discovery.notices().is_empty());
 }
--- a/tests/forwarder/harness.rs
+++ b/tests/forwarder/harness.rs
@@ -58,7 +58,7 @@
     /// A status after a delay.
     Delayed(Duration, u16),
     /// None; the connection stays open.
-    NoResponse,
+    Silent,
     /// Status 200 with a chunked body that never ends.
     EndlessBody,
     /// None; the connection is closed.
@@ -159,7 +159,7 @@
                     }
                     return;
                 }
-                Response::NoResponse => {
+                Response::Silent => {
                     let _ = reader.read_to_end(&mut Vec::new());
                     return;
                 }
@@ -272,6 +272,7 @@
     pub listen_address: SocketAddr,
     /// Where operators connect.
     pub admin_address: SocketAddr,
+    /// Holds the configuration file and the state directory.
     pub directory: TempDir,
     process: Child,
 }
@@ -299,12 +300,13 @@
     })
 }
 
-/// A free address that no other forwarder of this process uses: each has its own loopback IP address.
+/// A free address that no other test uses: each has its own loopback IP address, made from the process id and a
+/// counter.
 fn unique_address() -> SocketAddr {
     static NEXT_HOST: AtomicUsize = AtomicUsize::new(1);
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
-    let part = std::process::id() as usize % 250;
-    let listener = TcpListener::bind(format!("127.{}.{}.{}:0", 77, part, host)).unwrap();
+    let process_part = std::process::id() as usize % 250;
+    let listener = TcpListener::bind(format!("127.{}.{}.{}:0", 77, process_part, host)).unwrap();
     listener.local_addr().unwrap()
 }
 
@@ -357,7 +359,7 @@
         wait_until("the forwarder is ready", || self.exchange(health.as_bytes()).starts_with("HTTP/1.1 200"));
     }
 
-    pub fn journal_path(&self) -> PathBuf {
+    pub fn write_ahead_log_path(&self) -> PathBuf {
         self.directory.path().join("state/journal")
     }
 
@@ -367,8 +369,8 @@
         files.filter_map(|file| Some(file.ok()?.metadata().ok()?.len().div_ceil(512) * 512)).sum()
     }
 
-    /// Replaces the configuration file by one that names another discovery server, whose endpoint list it also holds as
-    /// the known one, and sends SIGHUP.
+    /// Replaces the configuration file by one that names another discovery server, whose endpoint list it also holds
+    /// as the known one, and sends SIGHUP.
     pub fn reload(&self, discovery: &DiscoveryServer) {
         let path = self.directory.path().join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -386,7 +388,7 @@
     }
 
     /// Starts a successor, with a new admin address, while the present process runs; returns the latter.
-    pub fn upgrade(&mut self) -> OldProcess {
+    pub fn start_successor(&mut self) -> OldProcess {
         let path = self.directory.path().join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         let old_admin_address = std::mem::replace(&mut self.admin_address, unique_address());
@@ -403,6 +405,7 @@
         self.process.wait().unwrap();
     }
 
+    /// Starts it again after [`Forwarder::kill`] or its exit.
     pub fn restart(&mut self) {
         self.process = Forwarder::spawn(&self.directory);
         self.wait_until_ready();
@@ -416,6 +419,7 @@
         self.process.try_wait().unwrap().is_none()
     }
 
+    /// Sends bytes on a new client connection; see [`exchange_at`].
     pub fn exchange(&self, bytes: &[u8]) -> String {
         exchange_at(self.listen_address, bytes)
     }
@@ -545,6 +549,7 @@
     pub id: String,
     pub path: String,
     pub destination: u32,
+    /// Time left until its deadline.
     pub deadline_ms: u64,
     pub body: Vec<u8>,
 }
