--- a/scale/src/call.rs
+++ b/scale/src/call.rs
@@ -19,6 +19,15 @@
     /// The event by which the policy learns its end; `ended` says that its message is over.
     pub fn end_event(self, now: Micros, outcome: Outcome, ended: bool, wait: Micros) -> Event {
         let Call { id, attempt, target, sent } = self;
-        Event::Outcome { id, attempt, target, outcome, took: now - sent, ended, wait, report: None }
+        Event::AttemptEnded {
+            id,
+            attempt,
+            target,
+            outcome,
+            took: now - sent,
+            message_ended: ended,
+            retry_after: wait,
+            report: None,
+        }
     }
 }
--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -1,7 +1,7 @@
-//! The deployment that experiments share: classes of messages, rules, and the policy's settings from both.
+//! The deployment that experiments share: classes of messages, contract, and the policy's settings from both.
 
 use crate::range::Bounded;
-use hatchline::{Class, Effect, ListedRate, Micros, Rules, Settings};
+use hatchline::{Class, DestinationContract, ListedRate, Micros, RetrySafety, Settings};
 use serde::{Deserialize, Serialize};
 
 /// Microseconds in a millisecond.
@@ -85,17 +85,17 @@
     /// The settings in the form that the delivery policy takes. What no scenario sets is as in a usual deployment.
     pub fn policy_settings(&self) -> Settings {
         Settings {
-            senders: to_u32(self.replicas),
+            replicas: to_u32(self.replicas),
             slots: to_u32(self.slots),
             max_held: to_u32(self.max_held),
             max_attempts: to_u32(self.max_attempts),
             may_cancel: true,
             classes: self.classes.iter().map(ClassSettings::to_policy).collect(),
-            rules: rules(),
-            batch: vec![1],
-            routes_apart: vec![false],
+            contract: contract(),
+            batch_by_kind: vec![1],
+            route_per_endpoint: vec![false],
             listed_rate: if self.is_rate_listed { ListedRate::Exact } else { ListedRate::Unknown },
-            connection_idle: 15 * SECOND,
+            connection_idle_timeout: 15 * SECOND,
             connect_timeout: SECOND,
             streams_per_connection: 8,
             tick: TICK,
@@ -111,33 +111,33 @@
             deadline: self.deadline_ms.get() * MILLISECOND,
             worth: self.worth.0,
             late_value: self.late_value.0,
-            effect: self.effect.to_policy(),
-            window: self.window_ms.get() * MILLISECOND,
+            retry_safety: self.effect.to_policy(),
+            deduplication_window: self.window_ms.get() * MILLISECOND,
             ..Class::default()
         }
     }
 }
 
 impl EffectName {
-    fn to_policy(self) -> Effect {
+    fn to_policy(self) -> RetrySafety {
         match self {
-            EffectName::Repeatable => Effect::Repeatable,
-            EffectName::Keyed => Effect::Keyed,
-            EffectName::Unsafe => Effect::Unsafe,
+            EffectName::Repeatable => RetrySafety::Repeatable,
+            EffectName::Keyed => RetrySafety::Keyed,
+            EffectName::Unsafe => RetrySafety::Unsafe,
         }
     }
 }
 
-/// Rules of the usual deployment.
-fn rules() -> Rules {
-    Rules {
+/// Contract of the usual deployment.
+fn contract() -> DestinationContract {
+    DestinationContract {
         drain_grace: SECOND,
-        cold_from: 0.2,
+        cold_capacity_share: 0.2,
         ramp_time: 10 * SECOND,
-        tip_multiple: 2.5,
-        tip_after: 1_500 * MILLISECOND,
+        overload_factor: 2.5,
+        overload_duration: 1_500 * MILLISECOND,
         order_pause: 100 * MILLISECOND,
-        ask_within: 10 * SECOND,
+        max_list_poll_interval: 10 * SECOND,
     }
 }
 
--- a/scale/src/fleet/cold_budget.rs
+++ b/scale/src/fleet/cold_budget.rs
@@ -1,7 +1,7 @@
 //! The load that a destination may get while it is cold after an outage, and the worst that it got.
 
 use crate::deployment::SECOND;
-use hatchline::{Micros, Rules};
+use hatchline::{DestinationContract, Micros};
 use serde::Serialize;
 use std::collections::VecDeque;
 
@@ -54,30 +54,34 @@
     pub any: WindowLoad,
 }
 
-/// Calls that the fleet may make to a destination in `tip_after`, from this span after its return: what the rules allow
-/// a destination that is cold then, and twice the root of that and two more for chance.
-fn allowed_when_cold(capacity: f64, since: Micros, rules: &Rules) -> f64 {
-    let ramped = (since as f64 / rules.ramp_time as f64).min(1.0);
-    let warm = rules.cold_from + (1.0 - rules.cold_from) * ramped;
-    let budget = capacity * warm * rules.tip_multiple * rules.tip_after as f64 / SECOND as f64;
+/// Calls that the fleet may make to a destination in `overload_duration`, from this span after its return: what the
+/// contract allows a destination that is cold then, and twice the root of that and two more for chance.
+fn allowed_when_cold(capacity: f64, since: Micros, contract: &DestinationContract) -> f64 {
+    let ramped = (since as f64 / contract.ramp_time as f64).min(1.0);
+    let warm = contract.cold_capacity_share + (1.0 - contract.cold_capacity_share) * ramped;
+    let budget =
+        capacity * warm * contract.overload_factor * contract.overload_duration as f64 / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
-/// The worst windows of `tip_after` that begin within the ramp after the return. The calls are in order of time.
-pub(super) fn worst_windows(calls: &[CallAfterReturn], capacity: f64, rules: &Rules) -> WorstWindows {
+/// The worst windows of `overload_duration` that begin within the ramp after the return. The calls are in order of
+/// time.
+pub(super) fn worst_windows(
+    calls: &[CallAfterReturn], capacity: f64, contract: &DestinationContract,
+) -> WorstWindows {
     let mut worst = WorstWindows::default();
     let mut window = VecDeque::new();
     for call in calls {
         // The earliest window that holds this call is the one that allows the least.
-        let start = call.since.saturating_sub(rules.tip_after);
-        if start > rules.ramp_time {
+        let start = call.since.saturating_sub(contract.overload_duration);
+        if start > contract.ramp_time {
             break;
         }
         window.push_back(*call);
         while window.front().is_some_and(|first| first.since < start) {
             window.pop_front();
         }
-        let load = WindowLoad { calls: window.len(), allowed: allowed_when_cold(capacity, start, rules) };
+        let load = WindowLoad { calls: window.len(), allowed: allowed_when_cold(capacity, start, contract) };
         worst.any = worst.any.worse(load);
         let informed = window.iter().filter(|call| call.is_informed).count();
         if informed * INFORMED_DENOMINATOR > window.len() * INFORMED_NUMERATOR {
--- a/scale/src/fleet/figures.rs
+++ b/scale/src/fleet/figures.rs
@@ -158,10 +158,10 @@
 fn windows_by_destination(
     scenario: &FleetScenario, point: Point, observations: &Observations,
 ) -> Vec<WorstWindows> {
-    let rules = scenario.policy_settings(point.replicas).rules;
+    let contract = scenario.policy_settings(point.replicas).contract;
     let capacity = scenario.destination.capacity_per_second.get() as f64;
     let logs = observations.destinations.iter();
-    logs.map(|log| worst_windows(&log.calls_after_return, capacity, &rules)).collect()
+    logs.map(|log| worst_windows(&log.calls_after_return, capacity, &contract)).collect()
 }
 
 fn seconds_until_recovered(
--- a/scale/src/policy/simulation.rs
+++ b/scale/src/policy/simulation.rs
@@ -290,7 +290,7 @@
             Answer::Ok => (Outcome::Ok, 0),
             Answer::TimedOut => (Outcome::TimedOut, 0),
             Answer::Cancelled => (Outcome::Cancelled, 0),
-            Answer::RetryAfter(span) => (Outcome::Full, span),
+            Answer::RetryAfter(span) => (Outcome::Rejected, span),
         };
         in_flight.stage = match answer {
             Answer::Ok => Stage::Delivered,
--- a/src/activation.rs
+++ b/src/activation.rs
@@ -31,7 +31,7 @@
         let Some(e) = self.listing.get(id) else { return };
         self.destinations.forget_wait(e.destination);
         let d = self.destinations.entry(e.destination);
-        let apart = self.settings.routes_apart.get(e.kind()).copied().unwrap_or(false);
+        let apart = self.settings.route_per_endpoint.get(e.kind()).copied().unwrap_or(false);
         let shared = if apart { None } else { d.routes.first().copied() };
         let route = shared.unwrap_or_else(|| {
             let fee = self.settings.zone_fee.get(e.zone as usize).copied().filter(|_| apart).unwrap_or(0.0);
@@ -43,7 +43,7 @@
         let l = &mut self.routes[route];
         l.targets.push(id);
         if e.rate > 0.0 {
-            l.limit_is(e.rate, self.settings.senders);
+            l.limit_is(e.rate, self.settings.replicas);
         }
         self.targets.insert(id, Target { route, zone: e.zone, state: e.state, ..Target::default() });
     }
@@ -59,7 +59,7 @@
         if rate > 0.0 {
             self.listing.set_rate(id, rate);
             let route = self.targets.get(&id).map(|t| &mut self.routes[t.route]);
-            route.into_iter().for_each(|l| l.limit_is(rate, self.settings.senders));
+            route.into_iter().for_each(|l| l.limit_is(rate, self.settings.replicas));
         }
     }
 
--- a/src/bin/foldtrack/clients.rs
+++ b/src/bin/foldtrack/clients.rs
@@ -8,8 +8,8 @@
 use crate::streams::{self, Tap, Tapped};
 use crate::turnstile::{Ticket, Turnstile};
 use bytes::Bytes;
-use hatchline::settings::Parsed;
-use hatchline::{Effect, Micros};
+use hatchline::settings::DeploymentSettings;
+use hatchline::{Micros, RetrySafety};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, RETRY_AFTER};
@@ -59,7 +59,7 @@
 
 /// What the connections share.
 pub(crate) struct Desk {
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub inputs: Inputs,
     pub stage: watch::Receiver<Stage>,
@@ -391,7 +391,7 @@
     if line.progress().late {
         desk.inputs.send(Input::TurnedAway { class: message.class });
         let limits = &desk.settings.settings;
-        let wait = if limits.may_advise_wait { limits.max_advised_wait.min(STRAIN_WAIT) } else { 0 };
+        let wait = if limits.may_send_retry_after { limits.max_retry_after.min(STRAIN_WAIT) } else { 0 };
         return Ok(refusal(wait.div_ceil(1000)));
     }
     let (reply, answer) = oneshot::channel();
@@ -431,7 +431,7 @@
     let left = header("X-Deadline")?.and_then(|t| span(&t)).ok_or(BAD)?;
     let destination = header("X-Consignee")?.and_then(|t| destination(&t)).ok_or(BAD)?;
     let idempotency_key = header("Idempotency-Key")?;
-    if rules.effect == Effect::Keyed && idempotency_key.is_none() {
+    if rules.retry_safety == RetrySafety::Keyed && idempotency_key.is_none() {
         return Err(BAD);
     }
     let retry = header("X-Retry")?;
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -2,7 +2,7 @@
 
 use crate::last_list;
 use hatchline::discovery::list::ServerList;
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use serde::Deserialize;
 use std::env;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     pub sockets: usize,
     pub disk_bytes: u64,
     pub known: ServerList,
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
 }
 
 #[derive(Deserialize)]
@@ -33,7 +33,7 @@
     limits: Limits,
     #[serde(default)]
     known: ServerList,
-    settings: Parsed,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -70,7 +70,7 @@
         let (path, mut file) = read_file()?;
         // The protocol has no call with several messages: joined ones would go as a call each, all at once, on the slot
         // and the part of the limit of one.
-        file.settings.settings.batch.clear();
+        file.settings.settings.batch_by_kind.clear();
         let disk_bytes = file.limits.disk_mb * 1e6;
         if !(disk_bytes.is_finite() && disk_bytes > 0.0) {
             return Err(format!("{path}: limits.disk_mb is no room"));
--- a/src/bin/foldtrack/figures.rs
+++ b/src/bin/foldtrack/figures.rs
@@ -1,7 +1,7 @@
 //! What the forwarder reports of itself: counts since the process started, each raised where the thing that it
 //! counts happens, and the text of them.
 
-use hatchline::Pool;
+use hatchline::EndpointCounts;
 use std::fmt::Write;
 
 /// How a message ended. Each ends in exactly one of these.
@@ -51,14 +51,14 @@
     }
 
     /// The figures, a line each; `active` messages are taken and not yet ended.
-    pub fn text(&self, active: usize, pool: Pool) -> String {
+    pub fn text(&self, active: usize, pool: EndpointCounts) -> String {
         let mut text = String::new();
         for Class { name, ok, shed, errors, tries } in &self.0 {
             for (what, count) in [("ok", ok), ("shed", shed), ("errors", errors), ("tries", tries)] {
                 let _ = writeln!(text, "responses.{name}.{what}={count}");
             }
         }
-        let Pool { listed, avoided } = pool;
+        let EndpointCounts { listed, ejected: avoided } = pool;
         let _ = writeln!(text, "active={active}\npool_size={listed}\npool_ejected={avoided}");
         text
     }
@@ -76,7 +76,7 @@
         figures.ended(1, Ended::Error);
         figures.ended(7, Ended::Ok);
         (0..3).for_each(|_| figures.tried(1));
-        let text = figures.text(5, Pool { listed: 9, avoided: 2 });
+        let text = figures.text(5, EndpointCounts { listed: 9, ejected: 2 });
         let expected = "responses.a.ok=1\nresponses.a.shed=0\nresponses.a.errors=0\nresponses.a.tries=0\n\
              responses.b.ok=0\nresponses.b.shed=1\nresponses.b.errors=1\nresponses.b.tries=3\n\
              active=5\npool_size=9\npool_ejected=2\n";
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::journal::Accepted;
 use bytes::Bytes;
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::Micros;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -33,7 +33,7 @@
     }
 
     /// As the journal has it.
-    pub fn accepted(&self, settings: &Parsed, clock: &Clock) -> Accepted {
+    pub fn accepted(&self, settings: &DeploymentSettings, clock: &Clock) -> Accepted {
         Accepted {
             id: self.id.clone(),
             class: settings.class_names.get(self.class).cloned().unwrap_or_default(),
@@ -47,7 +47,7 @@
     }
 
     /// The other way; the class is past all that the settings have if they do not name it any more.
-    pub fn of(accepted: Accepted, settings: &Parsed, clock: &Clock) -> Message {
+    pub fn of(accepted: Accepted, settings: &DeploymentSettings, clock: &Clock) -> Message {
         let class = settings.class_names.iter().position(|n| *n == accepted.class);
         Message {
             id: accepted.id,
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -21,7 +21,7 @@
 use crate::turnstile::Turnstile;
 use crate::upgrade::{self, Lock, Start};
 use hatchline::discovery::list::{ServerList, ServerState};
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::{
     Action, DeliveryPolicy, Endpoint, EndpointState, Event, ListKind, Micros, Outcome, TargetId,
 };
@@ -110,7 +110,7 @@
 struct Node {
     clock: Clock,
     policy: DeliveryPolicy,
-    settings: Arc<Parsed>,
+    settings: Arc<DeploymentSettings>,
     journal: Journal,
     inputs: Inputs,
     discovery: watch::Sender<SocketAddr>,
@@ -225,7 +225,7 @@
         let room = config.disk_bytes.saturating_sub(out::ROOM + last_list::room(&config.known));
         let (journal, restored) = Journal::open(&config.state, room, settings.max_attempts)?;
         let discovery = watch::Sender::new(config.discovery);
-        let conn_idle = Duration::from_micros(settings.connection_idle);
+        let conn_idle = Duration::from_micros(settings.connection_idle_timeout);
         let node = Node {
             clock,
             policy,
@@ -282,7 +282,7 @@
     /// Takes in all that has happened, lets the module decide once, and carries out what it says.
     fn round(&mut self, batch: &mut Vec<Input>) {
         let begun = self.clock.now();
-        self.handle(Event::Late { by: (self.strain.lag() + TIMER_STEP).as_micros() as Micros });
+        self.handle(Event::ProcessingLag { lag: (self.strain.lag() + TIMER_STEP).as_micros() as Micros });
         for input in batch.drain(..) {
             self.take_in(input);
         }
@@ -339,7 +339,7 @@
             }
             Input::Reported { numbers } => self.reported(numbers),
             Input::Connected { number, attempt, target, go } => {
-                let may_go = self.policy.may_go(self.clock.now(), number, target);
+                let may_go = self.policy.may_still_send(self.clock.now(), number, target);
                 let _ = go.send(may_go && self.begin(number, attempt));
             }
             Input::Written { class } => self.figures.tried(class),
@@ -358,7 +358,7 @@
                     self.terminated = Some(Instant::now());
                     self.stage.send_replace(Stage::Draining);
                     let by = self.clock.now() + END_BY.as_micros() as Micros;
-                    self.handle(Event::Stopping { by });
+                    self.handle(Event::Shutdown { at: by });
                 }
             }
         }
@@ -370,7 +370,7 @@
         };
         let mut endpoints = Vec::with_capacity(list.servers.len());
         for line in list.servers {
-            let zone = self.settings.zone(&line.zone);
+            let zone = self.settings.zone_number(&line.zone);
             let known = self.target_ids.get(&line.id).copied();
             let target = known.unwrap_or(self.servers.len() as TargetId);
             if let Some(server) = self.servers.get_mut(target as usize) {
@@ -378,7 +378,7 @@
             } else {
                 self.servers.push(Server { address: line.addr, zone, era: 0 });
                 if self.taken_out.contains(&line.id) {
-                    self.handle(Event::ByHand { target, out: true });
+                    self.handle(Event::EndpointAdminState { target, disabled: true });
                 }
                 self.target_ids.insert(line.id, target);
             }
@@ -390,7 +390,7 @@
                 state: match line.state {
                     ServerState::Active => EndpointState::Ready,
                     ServerState::Leaving => EndpointState::Draining,
-                    ServerState::Left => EndpointState::Gone,
+                    ServerState::Left => EndpointState::Removed,
                 },
                 rate: line.weight,
             });
@@ -406,9 +406,10 @@
             AdminRequest::Ready => {
                 AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "clients are not taken\n")
             }
-            AdminRequest::Metrics => {
-                AdminResponse::new(StatusCode::OK, self.figures.text(self.messages.len(), self.policy.pool()))
-            }
+            AdminRequest::Metrics => AdminResponse::new(
+                StatusCode::OK,
+                self.figures.text(self.messages.len(), self.policy.endpoint_counts()),
+            ),
             AdminRequest::Disable(name) => self.by_hand(&name, true),
             AdminRequest::Enable(name) => self.by_hand(&name, false),
         }
@@ -418,7 +419,7 @@
     fn by_hand(&mut self, name: &str, out: bool) -> AdminResponse {
         let target = self.target_ids.get(name).copied();
         let was_out = self.taken_out.contains(name);
-        if !was_out && !target.is_some_and(|target| self.policy.lists(target)) {
+        if !was_out && !target.is_some_and(|target| self.policy.is_listed(target)) {
             return AdminResponse::new(StatusCode::NOT_FOUND, "no such endpoint\n");
         }
         if let Err(error) = self.taken_out.note(name, out) {
@@ -429,7 +430,7 @@
         if let Some(target) = target.filter(|_| was_out != out) {
             eprintln!("admin: endpoint {name} is {state}");
             self.servers[target as usize].era += 1;
-            self.handle(Event::ByHand { target, out });
+            self.handle(Event::EndpointAdminState { target, disabled: out });
         }
         AdminResponse::new(StatusCode::OK, format!("{name} is {state}\n"))
     }
@@ -482,7 +483,7 @@
         if full || !self.journal.has_room(message.size()) {
             self.tally.refused += 1;
             self.figures.ended(message.class, Ended::Shed);
-            let retry_in_ms = self.policy.advice(message.destination).div_ceil(1000);
+            let retry_in_ms = self.policy.retry_after(message.destination).div_ceil(1000);
             let _ = reply.send(Answer::Refused { retry_in_ms });
             return;
         }
@@ -540,7 +541,7 @@
         if let Some(Waiting { attempt, target, .. }) = held.waiting {
             self.outcome(number, attempt, target, Outcome::NotSent, true);
         }
-        self.handle(Event::Lapsed { id: number });
+        self.handle(Event::Abandoned { id: number });
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -641,14 +642,23 @@
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
             until: self.clock.instant(until),
             connection,
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
+            reports: self.settings.rate_index.is_some() && self.settings.share_left_index.is_some(),
             era,
         };
         tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
     }
 
     fn outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
-        self.handle(Event::Outcome { id, attempt, target, outcome, took: 0, ended, wait: 0, report: None });
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            target,
+            outcome,
+            took: 0,
+            message_ended: ended,
+            retry_after: 0,
+            report: None,
+        });
     }
 
     fn call_ended(&mut self, end: CallEnd) {
@@ -671,15 +681,15 @@
             self.record(end.number, &Record::Ended(fate));
         }
         let now = self.clock.now();
-        self.handle(Event::Outcome {
+        self.handle(Event::AttemptEnded {
             id: end.number,
             attempt: end.attempt,
             target: end.target,
             outcome: end.outcome,
             took: now.saturating_sub(self.clock.micros(end.begun)),
-            ended: end.over || !held,
+            message_ended: end.over || !held,
             // A wait runs from the answer's arrival, not from now.
-            wait: end.wait_until.map_or(0, |until| self.clock.micros(until).saturating_sub(now)),
+            retry_after: end.wait_until.map_or(0, |until| self.clock.micros(until).saturating_sub(now)),
             report: end.report,
         });
     }
--- a/src/bin/foldtrack/node/succession.rs
+++ b/src/bin/foldtrack/node/succession.rs
@@ -22,7 +22,8 @@
         config: &Config, inputs: &Inputs, offer: Offer,
     ) -> io::Result<(Node, StdListener)> {
         let settings = config.settings.settings.clone();
-        let policy = DeliveryPolicy::take_over(&offer.estate.policy, settings).map_err(io::Error::other)?;
+        let policy =
+            DeliveryPolicy::import_state(&offer.estate.policy, settings).map_err(io::Error::other)?;
         let clock = Clock::continuing(offer.estate.now, offer.estate.unix);
         let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
         let (estate, lock, listener, stream) = offer.accept()?;
@@ -54,7 +55,7 @@
         for HeldState { number, attempts, told, waiting } in estate.messages {
             let Some(known) = restored.remove(&number) else {
                 // Lost to the journal by an error that was logged: nothing can be sent of it.
-                self.handle(Event::Lapsed { id: number });
+                self.handle(Event::Abandoned { id: number });
                 continue;
             };
             let message = Arc::new(Message::of(known.accepted, &self.settings, &self.clock));
@@ -96,7 +97,7 @@
         let estate = Estate {
             now,
             unix: self.clock.unix(now),
-            policy: self.policy.hand_over().map_err(io::Error::other)?,
+            policy: self.policy.export_state().map_err(io::Error::other)?,
             next_number: self.next_number,
             messages: self.messages.iter().map(held).collect(),
             calls: self
@@ -117,7 +118,7 @@
         Remainder {
             calls: self.calls.into_iter().map(|(call, out)| (call, out.cancel)).collect(),
             figures: self.figures,
-            pool: self.policy.pool(),
+            pool: self.policy.endpoint_counts(),
             inputs: self.inputs,
             settings: self.settings,
             clock: self.clock,
--- a/src/bin/foldtrack/relay.rs
+++ b/src/bin/foldtrack/relay.rs
@@ -7,8 +7,8 @@
 use crate::message::Message;
 use crate::places::Places;
 use crate::upgrade::{frame, length_of};
-use hatchline::settings::Parsed;
-use hatchline::{LimitReport, Outcome, Pool, TargetId};
+use hatchline::settings::DeploymentSettings;
+use hatchline::{EndpointCounts, LimitReport, Outcome, TargetId};
 use hyper::StatusCode;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
 /// What keeps the owner in touch with the process that it took over from.
 pub(crate) struct Predecessor {
     pub inputs: Inputs,
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     pub calls: Vec<LeftCall>,
     /// Messages whose clients it is telling that they are taken on.
     pub answering: BTreeSet<u64>,
@@ -190,9 +190,9 @@
     /// What calls each off, unless it has been.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
     pub figures: Figures,
-    pub pool: Pool,
+    pub pool: EndpointCounts,
     pub inputs: Inputs,
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub stage: watch::Sender<Stage>,
     pub places: Places,
@@ -338,11 +338,11 @@
     fn an_old_process_counts_what_it_turns_away() {
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
         let settings = json!({"balancers": 1, "categories": classes, "limits": {}});
-        let settings: Arc<Parsed> = Arc::new(serde_json::from_value(settings).unwrap());
+        let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_value(settings).unwrap());
         let mut old = Remainder {
             calls: BTreeMap::new(),
             figures: Figures::new(&settings.class_names),
-            pool: Pool::default(),
+            pool: EndpointCounts::default(),
             inputs: events::channel().0,
             settings,
             clock: Clock::new(),
--- a/src/bin/foldtrack/tally.rs
+++ b/src/bin/foldtrack/tally.rs
@@ -88,7 +88,7 @@
     match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
-        Outcome::Full => 2,
+        Outcome::Rejected => 2,
         Outcome::TimedOut => 3,
         Outcome::ConnectFailed => 4,
         Outcome::Reset => 5,
--- a/src/bin/foldtrack/targets.rs
+++ b/src/bin/foldtrack/targets.rs
@@ -176,7 +176,7 @@
 fn is_crowded(end: &CallEnd, response: &Response<Incoming>) -> bool {
     let closes =
         text(response.headers(), CONNECTION.as_str()).is_some_and(|v| v.eq_ignore_ascii_case("close"));
-    closes && end.outcome == Outcome::Full && end.wait_until.is_none()
+    closes && end.outcome == Outcome::Rejected && end.wait_until.is_none()
 }
 
 /// What an answer means, by the table of the protocol. What is not in it may have run.
@@ -184,14 +184,14 @@
     let headers = response.headers();
     end.outcome = match response.status() {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::TOO_MANY_REQUESTS => Outcome::Full,
+        StatusCode::TOO_MANY_REQUESTS => Outcome::Rejected,
         StatusCode::SERVICE_UNAVAILABLE if headers.contains_key("X-Line-Busy") => Outcome::NotSent,
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::NotSent,
         _ => Outcome::Error,
     };
     end.over = matches!(response.status(), StatusCode::OK | StatusCode::GONE);
-    if end.outcome == Outcome::Full {
+    if end.outcome == Outcome::Rejected {
         let wait = text(headers, "X-Come-Back-Ms").and_then(|ms| ms.trim().parse::<f64>().ok());
         let wait = wait.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
         end.wait_until = wait.and_then(|w| Instant::now().checked_add(w));
--- a/src/bin/foldtrack/upgrade.rs
+++ b/src/bin/foldtrack/upgrade.rs
@@ -1,7 +1,7 @@
 //! A new version takes over from the one that runs: who owns the log, and the exchange in which that changes hands.
 
 use crate::events::{Input, Inputs};
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::{Micros, TargetId};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -51,8 +51,8 @@
 
 /// What stands in the way of a takeover where it differs: the layout of the state, and the names in it that are
 /// places in lists.
-pub(crate) fn format_of(settings: &Parsed) -> String {
-    let Parsed { class_names, kind_names, zone_names, .. } = settings;
+pub(crate) fn format_of(settings: &DeploymentSettings) -> String {
+    let DeploymentSettings { class_names, kind_names, zone_names, .. } = settings;
     format!("{} {class_names:?} {kind_names:?} {zone_names:?}", hatchline::FORMAT)
 }
 
--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/hatchline-adapter/host.rs
@@ -1,15 +1,15 @@
 //! One decision module for each instance number; translation between wire and interface.
 
 use crate::wire::{Batch, Entry, Input, Malformed, Output, Reply};
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::{Action, DeliveryPolicy, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 struct Instance {
     policy: DeliveryPolicy,
-    share_left_at: Option<usize>,
-    rate_at: Option<usize>,
+    share_left_index: Option<usize>,
+    rate_index: Option<usize>,
 }
 
 /// All instances of this process and the numbered lists they refer to.
@@ -23,7 +23,7 @@
     Ok(match status {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -37,7 +37,7 @@
     let state = match entry.status {
         3 => EndpointState::Ready,
         0 => EndpointState::Draining,
-        1 => EndpointState::Gone,
+        1 => EndpointState::Removed,
         other => return Err(Malformed(format!("a target has the unknown status {other}"))),
     };
     Ok(Endpoint {
@@ -53,7 +53,7 @@
 impl Instance {
     fn report(&self, values: &[f32]) -> Option<LimitReport> {
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).map(|v| f64::from(*v));
-        Some(LimitReport { share_left: value(self.share_left_at)?, rate: value(self.rate_at)? })
+        Some(LimitReport { share_left: value(self.share_left_index)?, rate: value(self.rate_index)? })
     }
 }
 
@@ -75,12 +75,14 @@
                     continue;
                 }
                 Input::Born { i, salt, env } => {
-                    let Parsed { settings, share_left_at, rate_at, .. } = serde_json::from_slice(&env)
-                        .map_err(|e| Malformed(format!("the settings of instance {i} do not parse: {e}")))?;
+                    let DeploymentSettings { settings, share_left_index, rate_index, .. } =
+                        serde_json::from_slice(&env).map_err(|e| {
+                            Malformed(format!("the settings of instance {i} do not parse: {e}"))
+                        })?;
                     let policy = guarded(i, &mut reply, || DeliveryPolicy::new(clock, salt, settings));
                     touched.insert(i, Vec::new());
                     if let Some(policy) = policy {
-                        self.instances.insert(i, Instance { policy, share_left_at, rate_at });
+                        self.instances.insert(i, Instance { policy, share_left_index, rate_index });
                     }
                     continue;
                 }
@@ -132,32 +134,34 @@
                     expires,
                 },
             ),
-            Input::Started { i, id, attempt, .. } => (i, Event::Started { id, attempt: u32::from(attempt) }),
+            Input::Started { i, id, attempt, .. } => {
+                (i, Event::StreamStarted { id, attempt: u32::from(attempt) })
+            }
             Input::Resolved { i, id, attempt, target, status, took, ended, wait_ms, feedback } => (
                 i,
-                Event::Outcome {
+                Event::AttemptEnded {
                     id,
                     attempt: u32::from(attempt),
                     target,
                     outcome: outcome(status)?,
                     took: u64::from(took),
-                    ended,
-                    wait: if status == 2 { u64::from(wait_ms) * 1000 } else { 0 },
+                    message_ended: ended,
+                    retry_after: if status == 2 { u64::from(wait_ms) * 1000 } else { 0 },
                     report: report(i, &feedback),
                 },
             ),
-            Input::Lapsed { i, id } => (i, Event::Lapsed { id }),
+            Input::Lapsed { i, id } => (i, Event::Abandoned { id }),
             Input::Wakeup { i, cookie } => (i, Event::Timer { token: cookie }),
             Input::Echo { i, target, status, took, feedback } => (
                 i,
-                Event::Probed {
+                Event::ProbeEnded {
                     target,
                     outcome: outcome(status)?,
                     took: u64::from(took),
                     report: report(i, &feedback),
                 },
             ),
-            Input::Peer { i, who, body } => (i, Event::Peer { from: who, data: body }),
+            Input::Peer { i, who, body } => (i, Event::PeerMessage { from: who, data: body }),
             Input::Born { .. } | Input::Down { .. } | Input::Roster { .. } => {
                 return Err(Malformed("a record without an event".into()))
             }
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -60,8 +60,9 @@
 
 impl From<&Settings> for ClientOptions {
     fn from(settings: &Settings) -> ClientOptions {
-        let mode = if settings.subscribe { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
-        ClientOptions { mode, replicas: settings.senders }
+        let mode =
+            if settings.subscribe_to_discovery { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
+        ClientOptions { mode, replicas: settings.replicas }
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -20,7 +20,7 @@
 
 /// What a repeat of a message of a class does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Effect {
+pub enum RetrySafety {
     /// May be repeated at will.
     #[default]
     Repeatable,
@@ -32,7 +32,7 @@
 
 /// Which endpoints of a destination drop repeats of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     #[default]
     All,
@@ -42,7 +42,7 @@
 
 /// How worth falls once the aim has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Decay {
+pub enum WorthDecay {
     /// Evenly, down to the late value at the deadline.
     #[default]
     Linear,
@@ -62,11 +62,11 @@
     /// Share of the worth left at the deadline.
     pub late_value: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// For keyed classes: who drops repeats.
-    pub group: Group,
+    pub deduplication_scope: DeduplicationScope,
     /// For keyed classes: how long, from the first attempt that may have run.
-    pub window: Micros,
+    pub deduplication_window: Micros,
     /// Messages with the same order key go one at a time, as they came.
     pub in_order: bool,
     /// Answers come as streams: an attempt whose stream began belongs to the client.
@@ -75,21 +75,21 @@
 
 /// Figures of the rules that a deployment promises to keep.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct DestinationContract {
     /// A drained or removed endpoint gets nothing new after this span.
     pub drain_grace: Micros,
     /// Share of its capacity that a destination has at least on return from an outage.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Span after which it has all of it.
     pub ramp_time: Micros,
     /// Load of more than this multiple of the present capacity ...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long brings a cold destination down.
-    pub tip_after: Micros,
+    pub overload_duration: Micros,
     /// Rest of an order key after an attempt whose end is not sure.
     pub order_pause: Micros,
     /// Where the list is fetched: a sender that has not asked for so long counts as told.
-    pub ask_within: Micros,
+    pub max_list_poll_interval: Micros,
 }
 
 /// What the list says of a destination's rate.
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Senders that share the destinations, this one included.
-    pub senders: u32,
+    pub replicas: u32,
     /// Calls that may be out at once.
     pub slots: u32,
     /// Messages that may be held, sent or not.
@@ -122,21 +122,21 @@
     /// Two attempts of one message may be out at once.
     pub may_duplicate: bool,
     /// Refused clients are told how long to stay away.
-    pub may_advise_wait: bool,
+    pub may_send_retry_after: bool,
     /// Longest advice that clients heed.
-    pub max_advised_wait: Micros,
+    pub max_retry_after: Micros,
     /// The list must be subscribed to.
-    pub subscribe: bool,
+    pub subscribe_to_discovery: bool,
     /// Classes of message; requests name their place.
     pub classes: Vec<Class>,
     /// How worth falls after the aim.
-    pub decay: Decay,
+    pub decay: WorthDecay,
     /// The rules' figures.
-    pub rules: Rules,
+    pub contract: DestinationContract,
     /// By kind of destination: messages that one call carries at most.
-    pub batch: Vec<u32>,
+    pub batch_by_kind: Vec<u32>,
     /// By kind of destination: endpoints are routes apart, each with its own limit, pace and outages.
-    pub routes_apart: Vec<bool>,
+    pub route_per_endpoint: Vec<bool>,
     /// By zone: price of a message that a route apart takes on.
     pub zone_fee: Vec<f64>,
     /// Price of a call refused above a limit.
@@ -144,7 +144,7 @@
     /// Meaning of [`Endpoint::rate`].
     pub listed_rate: ListedRate,
     /// Idle connections close after this span.
-    pub connection_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// A connection not made within this span has failed.
     pub connect_timeout: Micros,
     /// Calls that one connection carries at once.
@@ -181,8 +181,8 @@
         let share = match self.decay {
             _ if age <= aim => 1.0,
             _ if age > deadline => 0.0,
-            Decay::Linear => 1.0 - (1.0 - class.late_value) * (age - aim) / (deadline - aim).max(1.0),
-            Decay::Halving => (0.5f64).powf((age - aim) / aim.max(1.0)).max(class.late_value),
+            WorthDecay::Linear => 1.0 - (1.0 - class.late_value) * (age - aim) / (deadline - aim).max(1.0),
+            WorthDecay::Halving => (0.5f64).powf((age - aim) / aim.max(1.0)).max(class.late_value),
         };
         class.worth * share
     }
@@ -197,7 +197,7 @@
     /// Send nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A line of the list.
@@ -232,11 +232,11 @@
 
 /// How many endpoints there are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pool {
+pub struct EndpointCounts {
     /// Those in the list.
     pub listed: usize,
     /// Those of them that are avoided now, by hand or by choice.
-    pub avoided: usize,
+    pub ejected: usize,
 }
 
 /// End of an attempt or a probe.
@@ -247,7 +247,7 @@
     /// Answered with an error; may have taken effect.
     Error,
     /// Turned away unseen: over a limit, queue full, shut or draining.
-    Full,
+    Rejected,
     /// No answer in time; may have taken effect or still do.
     TimedOut,
     /// No connection; never ran.
@@ -267,7 +267,7 @@
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
-        matches!(self, Full | ConnectFailed | NotSent | TooManyConnections)
+        matches!(self, Rejected | ConnectFailed | NotSent | TooManyConnections)
     }
 }
 
@@ -323,31 +323,31 @@
         first_run: Option<(Micros, u32)>,
     },
     /// An operator takes an endpoint out, or puts it back.
-    ByHand {
+    EndpointAdminState {
         /// Which one.
         target: TargetId,
         /// Out, until the call that puts it back.
-        out: bool,
+        disabled: bool,
     },
     /// What is decided is carried out late, and what happens is told late: ends are decided so much earlier.
-    Late {
+    ProcessingLag {
         /// By so much; 0 where it is in time.
-        by: Micros,
+        lag: Micros,
     },
     /// The process is to end: calls that are out then are cut off.
-    Stopping {
+    Shutdown {
         /// The time of its end.
-        by: Micros,
+        at: Micros,
     },
     /// The answer of a streamed message has begun.
-    Started {
+    StreamStarted {
         /// The message.
         id: MessageId,
         /// Its attempt, from 0.
         attempt: u32,
     },
     /// An attempt is over. Each [`Action::Send`] gets exactly one.
-    Outcome {
+    AttemptEnded {
         /// The message.
         id: MessageId,
         /// Its attempt, from 0.
@@ -359,14 +359,14 @@
         /// Span since it was sent.
         took: Micros,
         /// The message is over, by this or earlier.
-        ended: bool,
-        /// For [`Outcome::Full`]: the wait told, 0 for none.
-        wait: Micros,
+        message_ended: bool,
+        /// For [`Outcome::Rejected`]: the wait told, 0 for none.
+        retry_after: Micros,
         /// What the destination tells of its limit.
         report: Option<LimitReport>,
     },
     /// A probe is over.
-    Probed {
+    ProbeEnded {
         /// Where it went.
         target: TargetId,
         /// How it ended.
@@ -377,7 +377,7 @@
         report: Option<LimitReport>,
     },
     /// Nobody wants this message any more.
-    Lapsed {
+    Abandoned {
         /// The message.
         id: MessageId,
     },
@@ -387,7 +387,7 @@
         token: u32,
     },
     /// Another sender wrote; where senders may talk.
-    Peer {
+    PeerMessage {
         /// Its rank.
         from: u32,
         /// What it wrote.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,11 +4,11 @@
 //! carries out the [`Action`]s it gets back. One `DeliveryPolicy` serves one forwarder; several share nothing.
 //!
 //! ```
-//! use hatchline::{Action, DeliveryPolicy, Class, Effect, Endpoint, EndpointState, Event, ListKind, Settings};
+//! use hatchline::{Action, DeliveryPolicy, Class, RetrySafety, Endpoint, EndpointState, Event, ListKind, Settings};
 //!
 //! let class = Class { aim: 2_000_000, deadline: 20_000_000, worth: 1.0, late_value: 0.5,
-//!     effect: Effect::Repeatable, ..Class::default() };
-//! let settings = Settings { senders: 1, slots: 8, max_held: 100, max_attempts: 5,
+//!     retry_safety: RetrySafety::Repeatable, ..Class::default() };
+//! let settings = Settings { replicas: 1, slots: 8, max_held: 100, max_attempts: 5,
 //!     classes: vec![class], ..Settings::default() };
 //! let mut policy = DeliveryPolicy::new(0, 42, settings);
 //! let mut actions = Vec::new();
@@ -24,15 +24,15 @@
 #![warn(missing_docs)]
 
 mod activation;
-mod answer_histogram;
 mod destinations;
 pub mod discovery;
+mod endpoint_counts;
 pub mod interface;
 mod listing;
 mod policy;
-mod pool;
 mod queueing;
 mod random;
+mod response_time_histogram;
 mod route_table;
 pub mod settings;
 mod state;
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -61,7 +61,7 @@
 
     /// Whether an endpoint is in the list now.
     pub fn lists(&self, target: TargetId) -> bool {
-        self.get(target).is_some_and(|e| e.state != EndpointState::Gone)
+        self.get(target).is_some_and(|e| e.state != EndpointState::Removed)
     }
 
     /// How many endpoints are in the list now.
@@ -103,7 +103,7 @@
         if let Some(at) = self.gone_at.remove(&target) {
             self.gone.remove(&(at, target));
         }
-        if state == EndpointState::Gone {
+        if state == EndpointState::Removed {
             self.gone_at.insert(target, now);
             self.gone.insert((now, target));
         }
@@ -113,7 +113,7 @@
     pub fn missing_in(&self, lines: &[Endpoint]) -> Vec<TargetId> {
         let mut named: Vec<TargetId> = lines.iter().map(|e| e.target).collect();
         named.sort_unstable();
-        let listed = self.endpoints.iter().filter(|(_, e)| e.state != EndpointState::Gone);
+        let listed = self.endpoints.iter().filter(|(_, e)| e.state != EndpointState::Removed);
         listed.map(|(id, _)| *id).filter(|id| named.binary_search(id).is_err()).collect()
     }
 
--- a/src/policy/exclusions.rs
+++ b/src/policy/disabled_endpoints.rs
@@ -24,7 +24,7 @@
         if t.state != EndpointState::Ready || self.excluded.contains(&id) {
             return false;
         }
-        let ramp = self.settings.rules.ramp_time;
+        let ramp = self.settings.contract.ramp_time;
         let Some(since) = t.cold.filter(|since| self.now < since + ramp) else { return true };
         let l = &self.routes[t.route];
         let rate = self.cold_rate(t.route, since) / l.targets.len().max(1) as f64;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -6,7 +6,7 @@
     /// A full list removes what it lacks; a cached one is only a start. One of a lower version is late, or
     /// from another discovery that counts anew: what it drains or lacks gets no call, but it revives nothing.
     pub(super) fn list(&mut self, kind: ListKind, version: u32, lines: Vec<Endpoint>) {
-        if (kind == ListKind::Cached && self.settings.subscribe) || kind == ListKind::Failed {
+        if (kind == ListKind::Cached && self.settings.subscribe_to_discovery) || kind == ListKind::Failed {
             self.out.push(Action::Subscribe { on: true });
         }
         if kind == ListKind::Failed {
@@ -16,7 +16,7 @@
         self.list_version = self.list_version.max(version);
         if kind == ListKind::Full {
             let missing = self.listing.missing_in(&lines);
-            missing.into_iter().for_each(|id| self.set_state(id, EndpointState::Gone));
+            missing.into_iter().for_each(|id| self.set_state(id, EndpointState::Removed));
         }
         lines.into_iter().for_each(|line| self.list_line(line, late));
     }
--- a/src/policy/idleness.rs
+++ b/src/policy/idleness.rs
@@ -34,23 +34,23 @@
             || l.trouble.is_some()
             || l.failing > LOSSY
             // Refusals cut it: to begin at the even part of a known limit, or with none, would be refused.
-            || l.rate_limit > 0.0 && l.rate_limit < RATE_RECOVERED * l.even_share(self.settings.senders)
+            || l.rate_limit > 0.0 && l.rate_limit < RATE_RECOVERED * l.even_share(self.settings.replicas)
                 && !(l.limit <= 0.0 && exceeds_need(l.rate_limit, self.own_rate(route)))
     }
 
     fn remembers_endpoint(&self, t: &Target) -> bool {
         // Put back by hand it may be cold until its ramp is over.
-        let ramps = t.cold.is_some_and(|since| self.now < since + self.settings.rules.ramp_time);
+        let ramps = t.cold.is_some_and(|since| self.now < since + self.settings.contract.ramp_time);
         // It failed, denied a connection or was full of them, lately.
         let avoided = t.avoid_until.max(t.denied_until).max(t.away_until) > self.now || t.to_close > 0;
         // Connections may be open from its last call, and how long they rested counts.
-        let connected = t.last_used.max(t.ended) + self.settings.connection_idle > self.now;
+        let connected = t.last_used.max(t.ended) + self.settings.connection_idle_timeout > self.now;
         ramps || avoided || connected
     }
 
     /// How long endpoints are remembered once they are gone: longer than any call, drain or ramp lasts.
     pub(crate) fn gone_grace(&self) -> Micros {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.contract;
         rules.drain_grace.max(rules.ramp_time).max(self.settings.longest_deadline() as Micros)
     }
 
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -14,7 +14,7 @@
         m.born = m.expires.saturating_sub(c.deadline);
         self.arrived[m.class] += 1.0;
         m.order_key *= u64::from(c.in_order);
-        let repeatable = c.effect != Effect::Unsafe;
+        let repeatable = c.retry_safety != RetrySafety::Unsafe;
         self.hold(id, m, repeatable);
         self.enqueue(id);
     }
@@ -26,7 +26,8 @@
         m.found = m.attempts.is_empty();
         let in_order = self.settings.classes.get(m.class).is_some_and(|c| c.in_order);
         if in_order && m.order_key != 0 && m.ran.is_some() {
-            self.order_queues.entry(m.order_key).or_default().1 = self.now + self.settings.rules.order_pause;
+            self.order_queues.entry(m.order_key).or_default().1 =
+                self.now + self.settings.contract.order_pause;
         }
         self.activate(m.destination);
         let d = self.destinations.get(m.destination).filter(|_| m.found);
@@ -75,20 +76,21 @@
         let tries_left = m.attempts.len() < self.settings.max_attempts.max(1) as usize;
         let open = !m.over && !out && tries_left && m.expires > self.now;
         let Some((_, zone)) = m.ran else { return (open, 0, !m.over) };
-        match c.effect {
-            Effect::Repeatable => (open, 0, !m.over),
-            Effect::Keyed => {
-                let all = c.group == Group::All;
+        match c.retry_safety {
+            RetrySafety::Repeatable => (open, 0, !m.over),
+            RetrySafety::Keyed => {
+                let all = c.deduplication_scope == DeduplicationScope::All;
                 (open && self.in_window(m), if all { 0 } else { zone + 1 }, !m.over && all)
             }
-            Effect::Unsafe => (false, 0, false),
+            RetrySafety::Unsafe => (false, 0, false),
         }
     }
 
     /// Whether a repeat, where one has to come within a window of the first attempt that may have run, would.
     pub(super) fn in_window(&self, m: &Message) -> bool {
         let c = &self.settings.classes[m.class];
-        c.effect != Effect::Keyed || m.ran.is_none_or(|(at, _)| self.now + self.settings.tick < at + c.window)
+        c.retry_safety != RetrySafety::Keyed
+            || m.ran.is_none_or(|(at, _)| self.now + self.settings.tick < at + c.deduplication_window)
     }
 
     /// Ends a message that is not (or no longer) out: refused where that is true to the client and its time
@@ -96,17 +98,17 @@
     pub(super) fn give_up(&mut self, id: MessageId) {
         let Some(m) = self.messages.get(&id).filter(|m| !m.over) else { return };
         let refuse = self.allowed(m).2 && m.expires > self.now;
-        let retry_after = self.advice(m.destination);
+        let retry_after = self.retry_after(m.destination);
         self.out.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.finish(id);
     }
 
     /// How long a client should stay away: until its destination takes calls and has served its queue.
-    pub fn advice(&self, destination: DestinationId) -> Micros {
-        let d = self.destinations.get(destination).filter(|_| self.settings.may_advise_wait);
+    pub fn retry_after(&self, destination: DestinationId) -> Micros {
+        let d = self.destinations.get(destination).filter(|_| self.settings.may_send_retry_after);
         let served_in = |l: &Route, queued: usize| (queued as f64 / l.rate.max(1.0) * SECOND) as Micros;
         let wait = |l: &Route, queued| l.opens_at().saturating_sub(self.now) + served_in(l, queued);
         let waits = d.into_iter().flat_map(|d| d.routes.iter().map(|l| wait(&self.routes[*l], d.queued())));
-        waits.min().unwrap_or(0).min(self.settings.max_advised_wait)
+        waits.min().unwrap_or(0).min(self.settings.max_retry_after)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -3,18 +3,18 @@
 //! the time-out and resend point τ of least expected completion time (see [`AnswerTimes`]). Around that
 //! stand a window of calls in flight, a circuit breaker for what looks out, and a rate limit under limits.
 
-use crate::answer_histogram::{AnswerHistogram, BUCKETS, FADED};
 use crate::destinations::{Destination, Destinations};
 use crate::interface::*;
 use crate::listing::Listing;
 use crate::random::Random;
+use crate::response_time_histogram::{AnswerHistogram, BUCKETS, FADED};
 use crate::route_table::RouteTable;
 use crate::state::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
+mod disabled_endpoints;
 mod endpoint_list;
-mod exclusions;
 mod idleness;
 mod messages;
 mod outcomes;
@@ -22,10 +22,10 @@
 mod selection;
 mod sending;
 mod state_transfer;
-mod time_outs;
+mod timeouts;
 
 pub use state_transfer::FORMAT;
-pub(crate) use time_outs::AnswerTimes;
+pub(crate) use timeouts::AnswerTimes;
 
 /// Answers before τ is trusted; planned resends in a row without an answer that mean τ is too low.
 const WARM_UP: u32 = 20;
@@ -138,20 +138,29 @@
                     Message { class, destination, order_key, expires, attempts, ran, ..Message::default() };
                 self.restored(id, m)
             }
-            Event::Late { by } => self.late = by,
-            Event::Stopping { by } => {
+            Event::ProcessingLag { lag: by } => self.late = by,
+            Event::Shutdown { at: by } => {
                 self.stopping = Some(by);
                 self.destinations.forget_waits()
             }
-            Event::ByHand { target, out } => self.by_hand(target, out),
-            Event::Started { id, .. } | Event::Lapsed { id } => self.finish(id),
-            Event::Outcome { id, attempt, outcome, took, ended, wait, report, .. } => {
+            Event::EndpointAdminState { target, disabled: out } => self.by_hand(target, out),
+            Event::StreamStarted { id, .. } | Event::Abandoned { id } => self.finish(id),
+            Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                took,
+                message_ended: ended,
+                retry_after: wait,
+                report,
+                ..
+            } => {
                 let sent = now.saturating_sub(took);
                 let end = End { outcome, sent, wait, report, planned: false };
                 self.outcome(id, attempt as usize, end, ended)
             }
             Event::Timer { .. } if self.armed <= now => self.armed = Micros::MAX,
-            Event::Timer { .. } | Event::Peer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::PeerMessage { .. } | Event::ProbeEnded { .. } => {}
         }
         out.append(&mut self.out);
     }
@@ -219,7 +228,7 @@
         let keep = 0.5f64.powf(MAINTENANCE_INTERVAL as f64 / self.settings.longest_deadline());
         self.averaging_window = self.averaging_window * keep + MAINTENANCE_INTERVAL as f64 / SECOND;
         self.arrived.iter_mut().chain(&mut self.delivered).for_each(|n| *n *= keep);
-        let ramp = self.settings.rules.ramp_time;
+        let ramp = self.settings.contract.ramp_time;
         for l in self.routes.iter_mut() {
             l.times.age(keep);
             l.recent_requests *= keep;
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -17,7 +17,7 @@
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             if let Some(order_queues) = self.order_queues.get_mut(&m.order_key) {
-                order_queues.1 = order_queues.1.max(self.now + self.settings.rules.order_pause);
+                order_queues.1 = order_queues.1.max(self.now + self.settings.contract.order_pause);
             }
         }
         if let Some(route) = self.targets.get(&target).map(|t| t.route) {
@@ -66,16 +66,16 @@
         let least_rate = f64::from(self.settings.max_attempts) * SECOND / deadline;
         let (own_rate, probe_interval) =
             (self.own_rate(route), self.probe_interval(route, self.now.max(self.routes[route].wait_until)));
-        if self.routes[route].refusals_in_a_row > 0 && matches!(outcome, Outcome::Ok | Outcome::Full) {
+        if self.routes[route].refusals_in_a_row > 0 && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
             let factor = if outcome == Outcome::Ok { SPREAD_DOWN } else { SPREAD_UP };
             let most = self.even_interval().min(deadline);
             self.retry_jitter = (factor * self.retry_jitter).min(most).max(MAINTENANCE_INTERVAL as f64);
         }
         let (spread, even, half_aim) = (self.retry_jitter, self.even_interval(), least_aim / 2.0);
-        let (senders, short_trouble) = (f64::from(self.settings.senders.max(1)), self.short_trouble());
+        let (senders, short_trouble) = (f64::from(self.settings.replicas.max(1)), self.short_trouble());
         let l = &mut self.routes[route];
         if let Some(r) = report.filter(|r| r.rate > 0.0) {
-            l.limit_is(r.rate, self.settings.senders);
+            l.limit_is(r.rate, self.settings.replicas);
         }
         let before = std::mem::replace(&mut l.judged, self.now);
         let was = l.breaker;
@@ -92,7 +92,7 @@
                 l.rate_limit *= if held_up { 1.0 + RATE_RAISE * (2.0 * left).min(1.0) } else { 1.0 };
                 if l.limit > 0.0 {
                     // A replica of many has few answers: by its own parts it would not be back for a minute.
-                    let lack = (l.even_share(self.settings.senders) - l.rate_limit).max(0.0);
+                    let lack = (l.even_share(self.settings.replicas) - l.rate_limit).max(0.0);
                     l.rate_limit = (l.rate_limit
                         + if l.rate_limit > 0.0 { RATE_RECOVERY * lack } else { 0.0 })
                     .min(l.limit);
@@ -119,13 +119,13 @@
                     other => other,
                 };
             }
-            Outcome::Full => {
+            Outcome::Rejected => {
                 l.refusals_in_a_row += 1;
                 l.trouble.get_or_insert(self.now);
                 if l.halve(sent, self.now) {
                     // Not under what is surely being served: that much there is room for. One answer alone
                     // says little, and what all replicas fall back to stays within a known limit.
-                    let part = l.even_share(self.settings.senders);
+                    let part = l.even_share(self.settings.replicas);
                     let down = if l.rate_limit > 0.0 {
                         l.rate_limit * RATE_CUT
                     } else {
@@ -157,7 +157,7 @@
                 }
             }
         }
-        if !matches!(outcome, Outcome::Ok | Outcome::Full) && !planned {
+        if !matches!(outcome, Outcome::Ok | Outcome::Rejected) && !planned {
             l.may_have_run = outcome != Outcome::ConnectFailed;
         }
         match l.breaker {
@@ -168,7 +168,7 @@
                     backoff,
                 };
             }
-            _ if l.failing > MOSTLY_FAILING || end.wait > self.settings.rules.tip_after => {
+            _ if l.failing > MOSTLY_FAILING || end.wait > self.settings.contract.overload_duration => {
                 self.open_breaker(route)
             }
             _ => {}
@@ -182,22 +182,22 @@
         // Idle connections fill the table of an endpoint that takes few, or are dropped unseen: closed after
         // use where one was denied or this replica comes seldom. Costs a handshake if the next call was near.
         let l = &self.routes[route];
-        let seldom = (l.recent_requests - 1.0) * self.settings.connection_idle as f64 / SECOND
+        let seldom = (l.recent_requests - 1.0) * self.settings.connection_idle_timeout as f64 / SECOND
             <= self.averaging_window;
         if let Some(t) = self.targets.get_mut(&target) {
             // One endpoint of several may be out alone: it rests while the others serve.
-            let fails = outcome != Outcome::Ok && outcome != Outcome::Full && !planned;
+            let fails = outcome != Outcome::Ok && outcome != Outcome::Rejected && !planned;
             t.avoid_until = if fails { self.now + least_aim as Micros } else { 0 };
             if outcome == Outcome::ConnectFailed {
                 // By then what stood idle in its table is closed.
-                t.denied_until = self.now + self.settings.connection_idle;
+                t.denied_until = self.now + self.settings.connection_idle_timeout;
             }
             let last = outcome != Outcome::ConnectFailed && !l.calls.values().any(|c| c.target == target);
             let short = t.denied_until > self.now || t.to_close > 0;
             // One always in use before it is idle for too long would keep its place for good, mostly idle,
             // and never hear that others find none: its rests count together.
             let share = (EVEN_PLACES / senders).max(1.0);
-            let rested = t.rests as f64 > share * self.settings.connection_idle as f64;
+            let rested = t.rests as f64 > share * self.settings.connection_idle_timeout as f64;
             let close = last && (short || rested || seldom && outcome == Outcome::Ok);
             (t.crowded, t.to_close) = (0, t.to_close.saturating_sub(u32::from(close)));
             t.rests *= u64::from(!close);
--- a/src/policy/rates.rs
+++ b/src/policy/rates.rs
@@ -10,7 +10,7 @@
 
     /// Span between attempts of one replica at which all together bring a cold destination no harm.
     pub(super) fn even_interval(&self) -> f64 {
-        f64::from(self.settings.senders.max(1)) * self.settings.rules.tip_after as f64 / SLACK
+        f64::from(self.settings.replicas.max(1)) * self.settings.contract.overload_duration as f64 / SLACK
     }
 
     /// Least span between attempts at a route in trouble. Guards what is out, shut or cold against many
@@ -18,10 +18,11 @@
     /// slow start, evenly, or by the trouble's span, in which each message brought one replica at most.
     pub(super) fn probe_interval(&self, route: usize, at: Micros) -> f64 {
         // The fewer replicas, the better each one's own traffic tells its part; of many, the even part does.
-        let senders = f64::from(self.settings.senders.max(2));
+        let senders = f64::from(self.settings.replicas.max(2));
         let even_share = self.routes[route].limit / senders * (1.0 - 2.0 / senders);
-        let r = &self.settings.rules;
-        let capacity = self.own_rate(route).max(even_share) * r.cold_from * r.tip_multiple.max(1.0);
+        let r = &self.settings.contract;
+        let capacity =
+            self.own_rate(route).max(even_share) * r.cold_capacity_share * r.overload_factor.max(1.0);
         let part = capacity * RAMP_CAUTION / SECOND;
         let since = at - self.routes[route].trouble.unwrap_or(at).min(at);
         let spans = (TROUBLE_SPANS * senders / 4.0).clamp(TROUBLE_SPANS, MOST_TROUBLE_SPANS);
@@ -31,18 +32,18 @@
     /// This replica's part of a cautious share of what would push over what is cold since then, rising over
     /// the ramp. Does harm where it was not cold.
     pub(crate) fn cold_rate(&self, route: usize, since: Micros) -> f64 {
-        let r = &self.settings.rules;
+        let r = &self.settings.contract;
         let part = ((self.now - since) as f64 / r.ramp_time.max(1) as f64).min(1.0);
-        let warm = r.cold_from + (1.0 - r.cold_from) * part;
+        let warm = r.cold_capacity_share + (1.0 - r.cold_capacity_share) * part;
         let limit = self.routes[route].limit.max(LEAST_TOGETHER);
-        let capacity = self.own_rate(route).max(limit / f64::from(self.settings.senders.max(1)));
-        capacity * warm * r.tip_multiple.max(1.0) * RAMP_CAUTION
+        let capacity = self.own_rate(route).max(limit / f64::from(self.settings.replicas.max(1)));
+        capacity * warm * r.overload_factor.max(1.0) * RAMP_CAUTION
     }
 
     /// Age up to which a trouble is short: one of few replicas sees it begin, one of many perhaps its end.
     pub(super) fn short_trouble(&self) -> Micros {
-        let seen_part = (4.0 / f64::from(self.settings.senders.max(1))).min(1.0);
-        (seen_part * 2.0 * self.settings.rules.tip_after as f64) as Micros
+        let seen_part = (4.0 / f64::from(self.settings.replicas.max(1))).min(1.0);
+        (seen_part * 2.0 * self.settings.contract.overload_duration as f64) as Micros
     }
 
     /// The rate limit of one of many may let its first call come after all that a restart found is over.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -64,7 +64,7 @@
     /// Whether a message that may be repeated stands ready for a route, is out on it, or is to come within an
     /// aim by what has come lately.
     fn others_try(&self, d: &Destination, l: &Route, aim: Micros) -> bool {
-        let repeatable = |class: usize| self.settings.classes[class].effect != Effect::Unsafe;
+        let repeatable = |class: usize| self.settings.classes[class].retry_safety != RetrySafety::Unsafe;
         let to_come = l.recent_repeatable / self.averaging_window.max(1.0) * aim as f64 / SECOND;
         let may_repeat = |id: &MessageId| self.messages.get(id).is_some_and(|m| repeatable(m.class));
         let out = |c: &Call| c.messages.iter().any(|(id, _)| may_repeat(id));
@@ -113,7 +113,7 @@
             let m = &self.messages[&id];
             let (age, aim) = (self.now.saturating_sub(m.born) as f64, self.settings.classes[*class].aim);
             let urgency = self.settings.value(*class, age) - self.settings.value(*class, age + aim as f64);
-            let unsafe_now = self.settings.classes[*class].effect == Effect::Unsafe;
+            let unsafe_now = self.settings.classes[*class].retry_safety == RetrySafety::Unsafe;
             let mut choice: Option<Choice> = None;
             for (route, half_open) in &open {
                 let l = &self.routes[*route];
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -5,7 +5,7 @@
 impl DeliveryPolicy {
     /// Whether a call whose connection took its time may be written still: its endpoint may drain by now,
     /// its destination have told a wait, or the window for a repeat be over.
-    pub fn may_go(&mut self, now: Micros, id: MessageId, target: TargetId) -> bool {
+    pub fn may_still_send(&mut self, now: Micros, id: MessageId, target: TargetId) -> bool {
         self.now = now;
         let listed = self.targets.get(&target).filter(|t| t.state == EndpointState::Ready);
         let ready = listed.is_some_and(|t| self.routes[t.route].wait_until <= now);
@@ -36,19 +36,20 @@
         let zone = self.targets.get_mut(&target).map_or(0, |t| {
             let rest = if t.last_used > t.ended { 0 } else { self.now.saturating_sub(t.ended) };
             // After a longer one the endpoint has closed it.
-            t.rests = if rest < self.settings.connection_idle { t.rests + rest } else { 0 };
+            t.rests = if rest < self.settings.connection_idle_timeout { t.rests + rest } else { 0 };
             t.last_used = self.now;
             t.zone
         });
         let Some(m) = self.messages.get_mut(&id) else { return call };
         let c = &self.settings.classes[m.class];
         let tau = (l.times.tau * jitter) as Micros;
-        let again = match c.effect {
-            Effect::Repeatable => true,
-            Effect::Keyed => {
-                self.now + tau + 2 * self.settings.tick < m.ran.map_or(self.now, |r| r.0) + c.window
+        let again = match c.retry_safety {
+            RetrySafety::Repeatable => true,
+            RetrySafety::Keyed => {
+                self.now + tau + 2 * self.settings.tick
+                    < m.ran.map_or(self.now, |r| r.0) + c.deduplication_window
             }
-            Effect::Unsafe => false,
+            RetrySafety::Unsafe => false,
         };
         let last = m.attempts.len() + 1 >= self.settings.max_attempts as usize;
         // The lesser of τ and the time left; the time left where no resend may follow.
@@ -67,7 +68,7 @@
 
     /// Fills a call further, where the destination takes several messages in one. A probe goes alone.
     pub(super) fn fill(&mut self, dest: DestinationId, route: usize, target: TargetId, call: u64) {
-        let batch = self.settings.batch.get(self.routes[route].kind).copied().unwrap_or(1);
+        let batch = self.settings.batch_by_kind.get(self.routes[route].kind).copied().unwrap_or(1);
         let zone = self.targets.get(&target).map_or(0, |t| t.zone + 1);
         for _ in 1..batch {
             let Some(d) = self.destinations.get(dest) else { return };
@@ -75,7 +76,7 @@
             let next = open.filter_map(|(queue, set)| self.candidate(*queue, set));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
             let (m, l) = (&self.messages[&id], &self.routes[route]);
-            let unsafe_now = self.settings.classes[m.class].effect == Effect::Unsafe;
+            let unsafe_now = self.settings.classes[m.class].retry_safety == RetrySafety::Unsafe;
             if !self.allowed(m).0 || (unsafe_now && l.may_have_run && l.failing > LOSSY) {
                 return;
             }
@@ -93,7 +94,8 @@
             let silent = self.routes[route].breaker.is_open() && self.routes[route].may_have_run;
             let old = |c: &&mut Call| !c.given_up && (self.now - c.sent) as f64 > patience;
             for c in self.routes[route].calls.values_mut().filter(old) {
-                let repeatable = |m: &Message| self.settings.classes[m.class].effect == Effect::Repeatable;
+                let repeatable =
+                    |m: &Message| self.settings.classes[m.class].retry_safety == RetrySafety::Repeatable;
                 let free =
                     silent && c.messages.iter().all(|m| self.messages.get(&m.0).is_some_and(repeatable));
                 if free || few > 0 {
--- a/src/policy/state_transfer.rs
+++ b/src/policy/state_transfer.rs
@@ -10,12 +10,12 @@
     /// All that this replica knows goes along: its messages and calls, told waits, cold destinations, what is
     /// out by hand, and what it has learned of answer times and rates. A successor that began anew would push
     /// over what is cold and call what is to rest. The settings stay: the successor has its own.
-    pub fn hand_over(&self) -> Result<Vec<u8>, postcard::Error> {
+    pub fn export_state(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
 
     /// Goes on where another process stopped. Times go on with its clock.
-    pub fn take_over(bytes: &[u8], settings: Settings) -> Result<DeliveryPolicy, postcard::Error> {
+    pub fn import_state(bytes: &[u8], settings: Settings) -> Result<DeliveryPolicy, postcard::Error> {
         let mut policy: DeliveryPolicy = postcard::from_bytes(bytes)?;
         // They may have other classes than those of the process before.
         policy.arrived.resize(settings.classes.len(), 0.0);
--- a/src/policy/time_outs.rs
+++ b/src/policy/timeouts.rs
@@ -83,5 +83,5 @@
 }
 
 #[cfg(test)]
-#[path = "time_outs_tests.rs"]
+#[path = "timeouts_tests.rs"]
 mod tests;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,8 @@
 //! The settings as a deployment words them, in JSON, and their translation. Unknown keys are ignored.
 
-use crate::{Class, Decay, Effect, Group, ListedRate, Micros, Rules, Settings};
+use crate::{
+    Class, DeduplicationScope, DestinationContract, ListedRate, Micros, RetrySafety, Settings, WorthDecay,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -8,7 +10,7 @@
     balancers: u32,
     categories: Vec<Category>,
     #[serde(default)]
-    contract: Contract,
+    contract: ContractSection,
     #[serde(default)]
     dcs: Vec<String>,
     #[serde(default)]
@@ -50,7 +52,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Contract {
+struct ContractSection {
     ask_within: Micros,
     cold_from: f64,
     order_pause: Micros,
@@ -95,7 +97,7 @@
 /// The settings of an instance, the names in them, and where the two values of its limit report stand.
 #[derive(Debug, Deserialize)]
 #[serde(from = "Env")]
-pub struct Parsed {
+pub struct DeploymentSettings {
     /// What the decisions need.
     pub settings: Settings,
     /// Names of the classes of message, in their order.
@@ -105,65 +107,69 @@
     /// Names of the zones.
     pub zone_names: Vec<String>,
     /// Place of the share that is left in a report.
-    pub share_left_at: Option<usize>,
+    pub share_left_index: Option<usize>,
     /// Place of the limit's rate in a report.
-    pub rate_at: Option<usize>,
+    pub rate_index: Option<usize>,
 }
 
-impl Parsed {
+impl DeploymentSettings {
     /// The number of a zone. One that the settings do not name is a zone all the same: its number comes from its name,
     /// is the same in each process, and lies past all that are named.
-    pub fn zone(&self, name: &str) -> u32 {
+    pub fn zone_number(&self, name: &str) -> u32 {
         const UNNAMED: u32 = 1 << 30;
         let named = self.zone_names.iter().position(|n| n == name);
         named.map_or_else(|| UNNAMED | crc32fast::hash(name.as_bytes()) >> 2, |at| at as u32)
     }
 }
 
-impl From<Env> for Parsed {
+impl From<Env> for DeploymentSettings {
     fn from(env: Env) -> Self {
         let place = |name: &str| env.report.fields.iter().position(|f| f == name);
-        let (share_left_at, rate_at) = (place("x0"), place("x1"));
+        let (share_left_index, rate_index) = (place("x0"), place("x1"));
         let class_names = env.categories.iter().map(|c| c.name.clone()).collect();
         let classes = env.categories.iter().map(|c| Class {
             aim: c.aim,
             deadline: c.deadline,
             worth: c.worth,
             late_value: c.late_value,
-            effect: match c.effect.as_str() {
-                "repeatable" => Effect::Repeatable,
-                "by_key" => Effect::Keyed,
-                _ => Effect::Unsafe,
+            retry_safety: match c.effect.as_str() {
+                "repeatable" => RetrySafety::Repeatable,
+                "by_key" => RetrySafety::Keyed,
+                _ => RetrySafety::Unsafe,
             },
-            group: if c.group == "all" { Group::All } else { Group::Zone },
-            window: c.window,
+            deduplication_scope: if c.group == "all" {
+                DeduplicationScope::All
+            } else {
+                DeduplicationScope::Zone
+            },
+            deduplication_window: c.window,
             in_order: c.one_at_a_time,
             streaming: c.streaming,
         });
         let settings = Settings {
-            senders: env.balancers,
+            replicas: env.balancers,
             slots: env.family_info.slots,
             max_held: env.limits.max_open,
             max_attempts: env.limits.try_limit,
             may_cancel: env.limits.may_cancel,
             may_probe: env.limits.may_probe,
             may_duplicate: env.limits.may_duplicate,
-            may_advise_wait: env.limits.retry_after,
-            max_advised_wait: env.limits.max_retry_after,
-            subscribe: env.discovery == "on_request",
+            may_send_retry_after: env.limits.retry_after,
+            max_retry_after: env.limits.max_retry_after,
+            subscribe_to_discovery: env.discovery == "on_request",
             classes: classes.collect(),
-            decay: if env.family_info.decay == "halving" { Decay::Halving } else { Decay::Linear },
-            rules: Rules {
+            decay: if env.family_info.decay == "halving" { WorthDecay::Halving } else { WorthDecay::Linear },
+            contract: DestinationContract {
                 drain_grace: env.contract.stop_sending_within,
-                cold_from: env.contract.cold_from,
+                cold_capacity_share: env.contract.cold_from,
                 ramp_time: env.contract.ramp_time,
-                tip_multiple: env.contract.tip_multiple,
-                tip_after: env.contract.tip_after,
+                overload_factor: env.contract.tip_multiple,
+                overload_duration: env.contract.tip_after,
                 order_pause: env.contract.order_pause,
-                ask_within: env.contract.ask_within,
+                max_list_poll_interval: env.contract.ask_within,
             },
-            batch: env.family_info.batch_by_kind,
-            routes_apart: env.family_info.own_limits,
+            batch_by_kind: env.family_info.batch_by_kind,
+            route_per_endpoint: env.family_info.own_limits,
             zone_fee: env.family_info.zone_fee,
             refused_price: env.family_info.refused_price,
             listed_rate: match env.weight_source.as_str() {
@@ -171,18 +177,18 @@
                 "rough" => ListedRate::Rough,
                 _ => ListedRate::Unknown,
             },
-            connection_idle: env.limits.conn_idle,
+            connection_idle_timeout: env.limits.conn_idle,
             connect_timeout: env.limits.dial_timeout,
             streams_per_connection: env.limits.streams_per_conn,
             tick: env.tick,
         };
-        Parsed {
+        DeploymentSettings {
             settings,
             class_names,
             kind_names: env.machine_types,
             zone_names: env.dcs,
-            share_left_at,
-            rate_at,
+            share_left_index,
+            rate_index,
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -51,38 +51,38 @@
     list: u32,
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
         aim: 2 * S,
         deadline: 20 * S,
         worth: 1.0,
         late_value: 0.5,
-        effect,
-        window: 10 * S,
+        retry_safety: effect,
+        deduplication_window: 10 * S,
         ..Class::default()
     }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        senders: 2,
+        replicas: 2,
         slots: 12,
         max_held: 300,
         max_attempts: 6,
         may_cancel: true,
         classes,
-        rules: Rules {
+        contract: DestinationContract {
             drain_grace: S,
-            cold_from: 0.2,
+            cold_capacity_share: 0.2,
             ramp_time: 10 * S,
-            tip_multiple: 2.5,
-            tip_after: 1500 * MS,
+            overload_factor: 2.5,
+            overload_duration: 1500 * MS,
             order_pause: 100 * MS,
-            ask_within: 10 * S,
+            max_list_poll_interval: 10 * S,
         },
-        batch: vec![1],
-        routes_apart: vec![false],
-        connection_idle: 15 * S,
+        batch_by_kind: vec![1],
+        route_per_endpoint: vec![false],
+        connection_idle_timeout: 15 * S,
         connect_timeout: S,
         streams_per_connection: 8,
         tick: 5 * MS,
@@ -179,7 +179,7 @@
         let ended = m.over.is_some();
         let (destination, key) = (m.destination, m.key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.rests.insert(key, now + self.settings.rules.order_pause);
+            self.rests.insert(key, now + self.settings.contract.order_pause);
         }
         if wait > 0 {
             let route = if self.apart(target) { target } else { 0 };
@@ -187,7 +187,16 @@
             *until = (*until).max(now + wait);
         }
         let attempt = attempt as u32;
-        self.feed(Event::Outcome { id, attempt, target, outcome, took, ended, wait, report: None });
+        self.feed(Event::AttemptEnded {
+            id,
+            attempt,
+            target,
+            outcome,
+            took,
+            message_ended: ended,
+            retry_after: wait,
+            report: None,
+        });
     }
 
     /// The client has withdrawn the message, unknown to the module: a call with it ends as not sent.
@@ -199,7 +208,7 @@
 
     fn apart(&self, target: TargetId) -> bool {
         let kind = self.endpoints[&target].kind as usize;
-        self.settings.routes_apart.get(kind).copied().unwrap_or(false)
+        self.settings.route_per_endpoint.get(kind).copied().unwrap_or(false)
     }
 
     /// Passes one event in, lets the module decide, and carries out and checks what it says.
@@ -227,8 +236,9 @@
                 }
                 let ran = m.sent.iter().any(may_have_run);
                 let class = &self.settings.classes[m.class];
-                let keyed_all = class.effect == Effect::Keyed && class.group == Group::All;
-                if refuse && ran && class.effect != Effect::Repeatable && !keyed_all {
+                let keyed_all = class.retry_safety == RetrySafety::Keyed
+                    && class.deduplication_scope == DeduplicationScope::All;
+                if refuse && ran && class.retry_safety != RetrySafety::Repeatable && !keyed_all {
                     self.broken.push(format!("message {id} refused though it may have run"));
                 }
                 let m = self.mail.get_mut(&id).unwrap();
@@ -270,19 +280,21 @@
             broken("too many attempts");
         }
         let ran: Vec<_> = m.sent.iter().filter(|a| may_have_run(a)).collect();
-        match (class.effect, ran.first()) {
-            (Effect::Unsafe, Some(_)) => broken("an unsafe message that may have run was repeated"),
-            (Effect::Keyed, Some(first)) => {
-                if self.now > first.at + class.window {
+        match (class.retry_safety, ran.first()) {
+            (RetrySafety::Unsafe, Some(_)) => broken("an unsafe message that may have run was repeated"),
+            (RetrySafety::Keyed, Some(first)) => {
+                if self.now > first.at + class.deduplication_window {
                     broken("repeated outside its window");
                 }
-                if class.group == Group::Zone && self.endpoints[&first.target].zone != e.zone {
+                if class.deduplication_scope == DeduplicationScope::Zone
+                    && self.endpoints[&first.target].zone != e.zone
+                {
                     broken("repeated outside its group");
                 }
             }
             _ => {}
         }
-        if self.stopped.get(&target).is_some_and(|t| self.now > t + self.settings.rules.drain_grace) {
+        if self.stopped.get(&target).is_some_and(|t| self.now > t + self.settings.contract.drain_grace) {
             broken("sent to a drained endpoint after the grace");
         }
         let route = if self.apart(target) { target } else { 0 };
@@ -303,7 +315,7 @@
         }
         let sent = Sent { target, at: self.now, until, outcome: None };
         self.mail.get_mut(&id).unwrap().sent.push(sent);
-        if self.settings.batch.iter().all(|b| *b == 1) {
+        if self.settings.batch_by_kind.iter().all(|b| *b == 1) {
             let out = self.out();
             let here = out.iter().filter(|(x, _, _)| self.mail[x].destination == m.destination).count();
             if out.len() > self.settings.slots as usize {
@@ -353,7 +365,7 @@
 }
 
 pub fn may_have_run(a: &Sent) -> bool {
-    !matches!(a.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
+    !matches!(a.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
 /// Every attempt is served after `took`.
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -38,15 +38,16 @@
 }
 
 pub fn play(steps: &[Step], batch: u32) -> Field {
-    let mut zone = class(Effect::Keyed);
-    zone.group = Group::Zone;
-    let mut ordered = class(Effect::Keyed);
+    let mut zone = class(RetrySafety::Keyed);
+    zone.deduplication_scope = DeduplicationScope::Zone;
+    let mut ordered = class(RetrySafety::Keyed);
     ordered.in_order = true;
-    let mut turns = class(Effect::Unsafe);
+    let mut turns = class(RetrySafety::Unsafe);
     turns.in_order = true;
-    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe), zone, ordered, turns]);
-    s.batch = vec![batch, 1];
-    s.routes_apart = vec![false, true];
+    let mut s =
+        settings(vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe), zone, ordered, turns]);
+    s.batch_by_kind = vec![batch, 1];
+    s.route_per_endpoint = vec![false, true];
     s.zone_fee = vec![0.05, 0.0];
     let mut field = Field::new(s, lines());
     for step in steps {
@@ -57,18 +58,18 @@
                 if let Some((id, n, _)) = out.get(which % out.len().max(1)) {
                     let outcomes = [
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
                         Outcome::NotSent,
                     ];
                     let outcome = outcomes.get(usize::from(*outcome)).copied().unwrap_or(Outcome::Ok);
-                    let wait = if outcome == Outcome::Full { wait * 700 * MS } else { 0 };
+                    let wait = if outcome == Outcome::Rejected { wait * 700 * MS } else { 0 };
                     field.end(*id, *n, outcome, wait);
                 }
             }
             Step::State { target, state } => {
-                let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+                let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
                 let line = lines().into_iter().find(|e| e.target == *target).unwrap();
                 let line = Endpoint { state: states[usize::from(*state)], ..line };
                 field.list(ListKind::Delta, vec![line]);
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -37,19 +37,19 @@
 
 fn traffic_settings(rng: &mut Rng, deadline: u64) -> Settings {
     let class = |effect| Class { deadline, ..class(effect) };
-    let zone = Class { group: Group::Zone, ..class(Effect::Keyed) };
-    let ordered = Class { in_order: true, ..class(Effect::Keyed) };
-    let short = Class { aim: S, deadline: 4 * S, worth: 3.0, ..class(Effect::Repeatable) };
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe), zone, ordered, short];
+    let zone = Class { deduplication_scope: DeduplicationScope::Zone, ..class(RetrySafety::Keyed) };
+    let ordered = Class { in_order: true, ..class(RetrySafety::Keyed) };
+    let short = Class { aim: S, deadline: 4 * S, worth: 3.0, ..class(RetrySafety::Repeatable) };
+    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe), zone, ordered, short];
     let listed_rate = if rng.bool() { ListedRate::Exact } else { ListedRate::Unknown };
     Settings {
-        senders: [1, 2, 30][rng.usize(0..3)],
+        replicas: [1, 2, 30][rng.usize(0..3)],
         slots: rng.u32(6..40),
         max_held: [60, 300][rng.usize(0..2)],
-        may_advise_wait: true,
-        max_advised_wait: 5 * S,
-        batch: vec![1 + 3 * rng.u32(0..2), 1],
-        routes_apart: vec![false, true],
+        may_send_retry_after: true,
+        max_retry_after: 5 * S,
+        batch_by_kind: vec![1 + 3 * rng.u32(0..2), 1],
+        route_per_endpoint: vec![false, true],
         zone_fee: vec![0.05, 0.0],
         listed_rate,
         ..settings(classes)
@@ -73,7 +73,8 @@
 }
 
 fn change_list(field: &mut Field, rng: &mut Rng, lines: &[Endpoint]) {
-    let states = [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+    let states =
+        [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
     let line = Endpoint { state: states[rng.usize(0..4)], ..lines[rng.usize(0..lines.len())].clone() };
     match rng.u32(0..4) {
         0 => {
@@ -91,7 +92,7 @@
     let Some((id, attempt, _)) = out.get(rng.usize(0..out.len().max(1))) else { return };
     let failures = [
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::NotSent,
@@ -100,7 +101,7 @@
     let drawn = failures.get(rng.usize(0..18)).copied();
     let possible = drawn.filter(|outcome| crowded || *outcome != Outcome::TooManyConnections);
     let outcome = possible.unwrap_or(Outcome::Ok);
-    let wait = if outcome == Outcome::Full { rng.u64(0..3) * 700 * MS } else { 0 };
+    let wait = if outcome == Outcome::Rejected { rng.u64(0..3) * 700 * MS } else { 0 };
     field.end(*id, *attempt, outcome, wait);
 }
 
@@ -121,11 +122,11 @@
             20 => change_list(&mut field, &mut rng, &lines),
             21 => {
                 let target = 1 + rng.u32(0..lines.len() as u32);
-                field.feed(Event::ByHand { target, out: rng.bool() });
+                field.feed(Event::EndpointAdminState { target, disabled: rng.bool() });
             }
             22 => {
-                let state = field.policy.hand_over().unwrap();
-                field.policy = DeliveryPolicy::take_over(&state, field.settings.clone()).unwrap();
+                let state = field.policy.export_state().unwrap();
+                field.policy = DeliveryPolicy::import_state(&state, field.settings.clone()).unwrap();
             }
             23..=24 => field.run(rng.u64(5..900) * pace.pause_unit, silent),
             _ => field.run(rng.u64(5..600) * MS, serves(rng.u64(10..200) * MS)),
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -30,15 +30,16 @@
 
 impl Crowd {
     fn new(senders: usize, places: usize) -> Crowd {
-        let class = Class { aim: 2 * S, deadline: 9 * S, window: 9 * S, ..class(Effect::Keyed) };
+        let class =
+            Class { aim: 2 * S, deadline: 9 * S, deduplication_window: 9 * S, ..class(RetrySafety::Keyed) };
         let settings = Settings {
-            senders: senders as u32,
+            replicas: senders as u32,
             slots: 4,
             max_attempts: 4,
-            connection_idle: 8 * S,
+            connection_idle_timeout: 8 * S,
             ..settings(vec![class])
         };
-        let connection_idle = settings.connection_idle;
+        let connection_idle = settings.connection_idle_timeout;
         let mut crowd = Crowd {
             now: 5 * S,
             places,
@@ -103,8 +104,16 @@
             }
             let outcome = if has_place { Outcome::Ok } else { Outcome::TooManyConnections };
             let (took, ended) = (now - at, has_place);
-            let event =
-                Event::Outcome { id, attempt, target: 1, outcome, took, ended, wait: 0, report: None };
+            let event = Event::AttemptEnded {
+                id,
+                attempt,
+                target: 1,
+                outcome,
+                took,
+                message_ended: ended,
+                retry_after: 0,
+                report: None,
+            };
             let mut actions = Vec::new();
             self.senders[sender].handle(now, event, &mut actions);
             self.carry_out(sender, actions);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -18,10 +18,10 @@
 
 #[test]
 fn calls_wait_the_time_left_until_warm_and_then_for_tau() {
-    let mut field = Field::new(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)]);
+    let mut field = Field::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)]);
     let first = field.request(0, 1, 0);
     assert_eq!(field.mail[&first].sent[0].until, field.mail[&first].expires);
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = field.request(0, 1, 0);
     let a = &field.mail[&id].sent[0];
     assert!(a.until - a.at < S, "τ of {} µs", a.until - a.at);
@@ -32,7 +32,7 @@
 
 #[test]
 fn an_unsafe_message_waits_the_time_left() {
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
+    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)];
     let mut field = warmed(settings(classes), vec![endpoint(1, 1)], 0);
     let id = field.request(1, 1, 0);
     assert_eq!(field.mail[&id].sent[0].until, field.mail[&id].expires);
@@ -45,12 +45,12 @@
 /// Found on the first standard days: messages whose window lapsed while they were held went out again.
 #[test]
 fn a_keyed_message_is_not_repeated_after_its_window() {
-    let mut keyed = class(Effect::Keyed);
-    keyed.window = 3 * S;
+    let mut keyed = class(RetrySafety::Keyed);
+    keyed.deduplication_window = 3 * S;
     let mut field = warmed(settings(vec![keyed]), vec![endpoint(1, 1)], 0);
     let id = field.request(0, 1, 0);
     field.end(id, 0, Outcome::TimedOut, 0);
-    field.end(id, 1, Outcome::Full, 4 * S);
+    field.end(id, 1, Outcome::Rejected, 4 * S);
     field.run(6 * S, serves(80 * MS));
     assert_eq!(field.mail[&id].sent.len(), 2);
     assert!(field.mail[&id].over.is_some());
@@ -60,19 +60,19 @@
 /// Found on the first standard days: in a shared call, a wait told to a later message was not taken.
 #[test]
 fn a_wait_told_to_any_message_of_a_call_is_heeded() {
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.batch = vec![4];
+    let mut s = settings(vec![class(RetrySafety::Repeatable)]);
+    s.batch_by_kind = vec![4];
     let mut field = warmed(s, vec![endpoint(1, 1)], 0);
     // Hold the destination, so that several messages go in one call.
     let id = field.request(0, 1, 0);
-    field.end(id, 0, Outcome::Full, 500 * MS);
+    field.end(id, 0, Outcome::Rejected, 500 * MS);
     let ids: Vec<_> = (0..3).map(|_| field.request(0, 1, 0)).collect();
     field.run(600 * MS, |_, _, _| None);
     let shared: Vec<_> = field.out().into_iter().filter(|(x, _, _)| ids.contains(x) || *x == id).collect();
     assert!(shared.len() >= 2, "{} messages out", shared.len());
     let last = shared.len() - 1;
     for (i, (id, n, _)) in shared.iter().enumerate() {
-        field.end(*id, *n, Outcome::Full, if i == last { 2 * S } else { 0 });
+        field.end(*id, *n, Outcome::Rejected, if i == last { 2 * S } else { 0 });
     }
     field.run(5 * S, serves(80 * MS));
     field.kept();
@@ -81,7 +81,7 @@
 /// voda big-1: every slot sat on calls to a silent destination, and nothing was sent anywhere.
 #[test]
 fn a_silent_destination_does_not_hold_all_slots() {
-    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe)]);
+    let mut s = settings(vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)]);
     s.slots = 8;
     let mut field = Field::new(s, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
     for _ in 0..60 {
@@ -107,7 +107,7 @@
 /// A silent destination gets single trials, not the window's worth of messages.
 #[test]
 fn a_silent_destination_gets_single_trials_and_then_a_slow_start() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     for _ in 0..40 {
         field.request(0, 1, 0);
     }
@@ -126,12 +126,12 @@
 /// Incidents ib6d87e and i2d46a9: the backlog of one destination filled the room, and others were refused.
 #[test]
 fn a_backlog_for_one_destination_leaves_room_for_others() {
-    let mut s = settings(vec![class(Effect::Repeatable)]);
+    let mut s = settings(vec![class(RetrySafety::Repeatable)]);
     s.max_held = 60;
     let mut field = Field::new(s, vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..200 {
         field.request(0, 1, 0);
-        field.run(20 * MS, |now, _, a| (now >= a.at + 20 * MS).then_some((Outcome::Full, 0)));
+        field.run(20 * MS, |now, _, a| (now >= a.at + 20 * MS).then_some((Outcome::Rejected, 0)));
         let held = field.mail.values().filter(|m| m.over.is_none()).count();
         assert!(held < 60, "{held} held");
     }
@@ -144,9 +144,9 @@
 /// The first refusal after a long run without a limit must not stop a destination for long.
 #[test]
 fn one_refusal_after_a_long_run_is_soon_over() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = field.request(0, 1, 0);
-    field.end(id, 0, Outcome::Full, 0);
+    field.end(id, 0, Outcome::Rejected, 0);
     field.run(2 * S, serves(80 * MS));
     assert!(field.mail[&id].served);
     field.kept();
@@ -155,7 +155,7 @@
 #[test]
 fn drained_and_removed_endpoints_get_nothing_new() {
     let mut field =
-        warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)], 0);
+        warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)], 0);
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
     field.list(ListKind::Delta, vec![draining]);
     let ids: Vec<_> = (0..6).map(|_| field.request(0, 1, 0)).collect();
@@ -170,27 +170,27 @@
 /// A connection may take a second to stand: the module is asked again before the call is written.
 #[test]
 fn a_call_whose_connection_was_late_goes_by_what_was_told_meanwhile() {
-    let mut f = Field::new(settings(vec![class(Effect::Keyed)]), vec![endpoint(1, 1), endpoint(2, 1)]);
+    let mut f = Field::new(settings(vec![class(RetrySafety::Keyed)]), vec![endpoint(1, 1), endpoint(2, 1)]);
     let id = f.request(0, 1, 0);
-    assert!(f.policy.may_go(f.now, id, 1) && f.policy.may_go(f.now, id, 2));
-    assert!(!f.policy.may_go(f.now, id, 3) && !f.policy.may_go(f.now, id + 1, 1));
+    assert!(f.policy.may_still_send(f.now, id, 1) && f.policy.may_still_send(f.now, id, 2));
+    assert!(!f.policy.may_still_send(f.now, id, 3) && !f.policy.may_still_send(f.now, id + 1, 1));
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
     f.list(ListKind::Delta, vec![draining]);
-    assert!(!f.policy.may_go(f.now, id, 1) && f.policy.may_go(f.now, id, 2));
+    assert!(!f.policy.may_still_send(f.now, id, 1) && f.policy.may_still_send(f.now, id, 2));
     let begun = f.now;
     f.now += S;
     f.end(id, 0, Outcome::Reset, 300 * MS);
-    assert!(!f.policy.may_go(f.now + 290 * MS, id, 2));
-    assert!(f.policy.may_go(begun + 9_900 * MS, id, 2));
+    assert!(!f.policy.may_still_send(f.now + 290 * MS, id, 2));
+    assert!(f.policy.may_still_send(begun + 9_900 * MS, id, 2));
     // It may have run, and its window of 10 s is over.
-    assert!(!f.policy.may_go(begun + 10 * S, id, 2));
-    f.feed(Event::ByHand { target: 2, out: true });
-    assert!(!f.policy.may_go(begun + 9_900 * MS, id, 2));
+    assert!(!f.policy.may_still_send(begun + 10 * S, id, 2));
+    f.feed(Event::EndpointAdminState { target: 2, disabled: true });
+    assert!(!f.policy.may_still_send(begun + 9_900 * MS, id, 2));
 }
 
 #[test]
 fn a_message_with_less_time_left_than_any_answer_takes_is_refused_unsent() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let (id, expires) = (9_000, field.now + 30 * MS);
     let mut out = Vec::new();
     field.policy.handle(
@@ -205,8 +205,8 @@
 
 /// Sends in `span` after a destination stopped answering as it did, for a sender that is one of `senders`.
 fn sends_in_trouble(senders: u32, span: u64, outcome: Option<Outcome>, wait: u64) -> usize {
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.senders = senders;
+    let mut s = settings(vec![class(RetrySafety::Repeatable)]);
+    s.replicas = senders;
     s.max_attempts = 12;
     let mut field = Field::new(s, vec![endpoint(1, 1)]);
     for _ in 0..3 {
@@ -238,9 +238,12 @@
 /// was out or shut so often that together they held it down or pushed it over on its return.
 #[test]
 fn among_hundreds_of_senders_each_tries_a_destination_in_trouble_seldom() {
-    for (outcome, wait) in
-        [(Some(Outcome::Full), 0), (Some(Outcome::Full), 3 * S), (Some(Outcome::ConnectFailed), 0), (None, 0)]
-    {
+    for (outcome, wait) in [
+        (Some(Outcome::Rejected), 0),
+        (Some(Outcome::Rejected), 3 * S),
+        (Some(Outcome::ConnectFailed), 0),
+        (None, 0),
+    ] {
         let (few, many) =
             (sends_in_trouble(2, 18 * S, outcome, wait), sends_in_trouble(250, 18 * S, outcome, wait));
         assert!(many <= 8, "{outcome:?}, {wait} told: {many} sends in 18 s, {few} as one of two");
@@ -253,7 +256,7 @@
 fn a_connection_is_closed_after_use_where_one_was_denied_or_the_next_use_is_far() {
     let closes =
         |field: &Field| field.trace.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
-    let mut busy = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut busy = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let before = closes(&busy);
     busy.request(0, 1, 0);
     busy.run(S, serves(80 * MS));
@@ -262,8 +265,8 @@
     busy.end(id, 0, Outcome::ConnectFailed, 0);
     busy.run(3 * S, serves(80 * MS));
     assert!(busy.mail[&id].served && closes(&busy) > before, "kept where connections are short");
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.connection_idle = S;
+    let mut s = settings(vec![class(RetrySafety::Repeatable)]);
+    s.connection_idle_timeout = S;
     let mut seldom = Field::new(s, vec![endpoint(1, 1)]);
     for _ in 0..4 {
         seldom.request(0, 1, 0);
@@ -275,7 +278,7 @@
 /// After each crash of a partner, every call to it opened a connection of its own for the rest of the day.
 #[test]
 fn connections_are_kept_again_some_time_after_one_was_denied() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = field.request(0, 1, 0);
     field.end(id, 0, Outcome::ConnectFailed, 0);
     let calls = |field: &mut Field| {
@@ -301,14 +304,14 @@
 fn where_the_host_is_late_messages_end_so_much_before_their_time() {
     const LATE: u64 = 200 * MS;
     for (calls, by) in [(false, 0), (false, LATE), (true, 0), (true, LATE)] {
-        let short = Class { deadline: S, ..class(Effect::Repeatable) };
+        let short = Class { deadline: S, ..class(RetrySafety::Repeatable) };
         let one_attempt = Settings { max_attempts: 1, ..settings(vec![short]) };
         let mut field = Field::new(one_attempt, vec![endpoint(1, 1)]);
         if !calls {
             // Nothing can go there.
             field.list(ListKind::Full, Vec::new());
         }
-        field.feed(Event::Late { by });
+        field.feed(Event::ProcessingLag { lag: by });
         let id = field.request(0, 1, 0);
         let expires = field.mail[&id].expires;
         let before = field.trace.len();
@@ -326,9 +329,9 @@
 /// A call that the end of the process cuts off may have run, which ends an unsafe message.
 #[test]
 fn no_call_is_started_that_the_end_of_the_process_would_cut_off() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let by = field.now + 3 * S;
-    field.feed(Event::Stopping { by });
+    field.feed(Event::Shutdown { at: by });
     let early = field.request(0, 1, 0);
     field.run(2900 * MS, serves(80 * MS));
     let late = field.request(0, 1, 0);
@@ -340,15 +343,15 @@
 
 #[test]
 fn odd_events_are_ignored() {
-    let mut field = Field::new(settings(vec![class(Effect::Keyed)]), vec![endpoint(1, 1)]);
-    let end = |id, attempt, target| Event::Outcome {
+    let mut field = Field::new(settings(vec![class(RetrySafety::Keyed)]), vec![endpoint(1, 1)]);
+    let end = |id, attempt, target| Event::AttemptEnded {
         id,
         attempt,
         target,
         outcome: Outcome::Ok,
         took: 1 << 60,
-        ended: false,
-        wait: 0,
+        message_ended: false,
+        retry_after: 0,
         report: None,
     };
     let id = field.request(0, 1, 0);
@@ -356,11 +359,11 @@
     for event in [
         end(77, 0, 1),
         end(id, 9, 1),
-        Event::Lapsed { id: 77 },
+        Event::Abandoned { id: 77 },
         Event::Timer { token: 99 },
-        Event::Started { id: 77, attempt: 0 },
-        Event::Probed { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
-        Event::Peer { from: 1, data: vec![] },
+        Event::StreamStarted { id: 77, attempt: 0 },
+        Event::ProbeEnded { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
+        Event::PeerMessage { from: 1, data: vec![] },
         Event::Request { id: 78, class: 9, destination: 1, order_key: 0, expires: u64::MAX },
         Event::List { kind: ListKind::Failed, version: 0, endpoints: vec![] },
     ] {
@@ -374,7 +377,7 @@
 /// clients, and each trial was spent on one of those, which tells nothing. It never opened again.
 #[test]
 fn trials_are_not_used_up_by_messages_that_were_withdrawn() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let withdrawn: Vec<_> = (0..80).map(|_| field.request(0, 1, 0)).collect();
     field.run(2 * S, |now, _, a| (now >= a.at + 10 * MS).then_some((Outcome::ConnectFailed, 0)));
     for id in withdrawn {
@@ -393,7 +396,7 @@
 /// long as messages came about as fast as they could be served.
 #[test]
 fn a_stale_backlog_does_not_make_later_messages_late() {
-    let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut field = warmed(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     for _ in 0..200 {
         field.request(0, 1, 0);
     }
@@ -418,11 +421,11 @@
 #[test]
 fn a_refused_client_is_told_when_to_come_back_where_that_is_allowed() {
     let advice = |allowed: bool| {
-        let mut s = settings(vec![class(Effect::Repeatable)]);
-        (s.may_advise_wait, s.max_advised_wait, s.max_held) = (allowed, 2 * S, 40);
+        let mut s = settings(vec![class(RetrySafety::Repeatable)]);
+        (s.may_send_retry_after, s.max_retry_after, s.max_held) = (allowed, 2 * S, 40);
         let mut field = warmed(s, vec![endpoint(1, 1)], 0);
         let id = field.request(0, 1, 0);
-        field.end(id, 0, Outcome::Full, 1500 * MS);
+        field.end(id, 0, Outcome::Rejected, 1500 * MS);
         (0..60).for_each(|_| assert!(field.request(0, 1, 0) > id));
         let refused = field.trace.iter().filter_map(|(_, a)| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
@@ -439,7 +442,7 @@
 #[test]
 fn an_endpoint_taken_out_by_hand_gets_nothing_and_is_cold_when_it_is_back() {
     let mut field =
-        Field::new(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)]);
+        Field::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)]);
     let traffic = |field: &mut Field, span: u64| {
         let (from, seen) = (field.now, field.sends());
         while field.now < from + span {
@@ -454,13 +457,13 @@
         (sent, field.sends() - seen)
     };
     traffic(&mut field, 5 * S);
-    field.feed(Event::ByHand { target: 1, out: true });
-    field.feed(Event::ByHand { target: 1, out: true });
+    field.feed(Event::EndpointAdminState { target: 1, disabled: true });
+    field.feed(Event::EndpointAdminState { target: 1, disabled: true });
     field.list(ListKind::Full, vec![endpoint(1, 1), endpoint(2, 1)]);
     let (sent, all) = traffic(&mut field, 5 * S);
     assert!(sent == 0 && all > 50, "{sent} of {all} calls while it was out");
-    assert_eq!(field.policy.pool(), Pool { listed: 2, avoided: 1 });
-    field.feed(Event::ByHand { target: 1, out: false });
+    assert_eq!(field.policy.endpoint_counts(), EndpointCounts { listed: 2, ejected: 1 });
+    field.feed(Event::EndpointAdminState { target: 1, disabled: false });
     let (cold, all) = traffic(&mut field, 2 * S);
     assert!(cold > 0 && cold * 4 < all, "{cold} of {all} calls while it was cold");
     field.run(10 * S, serves(40 * MS));
@@ -474,15 +477,15 @@
 fn a_successor_does_all_that_its_predecessor_would_have_done() {
     let trace = |handover: bool| {
         let mut field = Field::new(
-            settings(vec![class(Effect::Keyed), class(Effect::Unsafe)]),
+            settings(vec![class(RetrySafety::Keyed), class(RetrySafety::Unsafe)]),
             (1..=6).map(|n| endpoint(n, n.div_ceil(2))).collect(),
         );
         // Each way an attempt can end comes up, by message and time alone.
         let answer = |now: u64, id: MessageId, a: &Sent| match id % 41 {
             _ if now < a.at + (20 + id % 7 * 15) * MS => None,
             0 => None,
-            1 => Some((Outcome::Full, 700 * MS)),
-            2 => Some((Outcome::Full, 0)),
+            1 => Some((Outcome::Rejected, 700 * MS)),
+            2 => Some((Outcome::Rejected, 0)),
             3 => Some((Outcome::Reset, 0)),
             4 => Some((Outcome::ConnectFailed, 0)),
             _ => Some((Outcome::Ok, 0)),
@@ -493,11 +496,11 @@
                 field.run((10 + n * 15) * MS, answer);
             }
             if round == 40 {
-                field.feed(Event::ByHand { target: 5, out: true });
+                field.feed(Event::EndpointAdminState { target: 5, disabled: true });
             }
             if handover && round % 5 == 0 {
-                let left = field.policy.hand_over().unwrap();
-                field.policy = DeliveryPolicy::take_over(&left, field.settings.clone()).unwrap();
+                let left = field.policy.export_state().unwrap();
+                field.policy = DeliveryPolicy::import_state(&left, field.settings.clone()).unwrap();
             }
         }
         field.run(5 * S, answer);
@@ -515,9 +518,9 @@
 /// little worth got nothing.
 #[test]
 fn a_class_of_little_worth_is_not_served_far_less_than_all() {
-    let high = Class { worth: 4.0, ..class(Effect::Repeatable) };
-    let low = Class { worth: 0.4, aim: 700 * MS, deadline: 2500 * MS, ..class(Effect::Repeatable) };
-    let s = Settings { listed_rate: ListedRate::Exact, senders: 1, ..settings(vec![high, low]) };
+    let high = Class { worth: 4.0, ..class(RetrySafety::Repeatable) };
+    let low = Class { worth: 0.4, aim: 700 * MS, deadline: 2500 * MS, ..class(RetrySafety::Repeatable) };
+    let s = Settings { listed_rate: ListedRate::Exact, replicas: 1, ..settings(vec![high, low]) };
     let mut field = Field::new(s, vec![Endpoint { rate: 20.0, ..endpoint(1, 1) }]);
     // Twice what the limit takes, a quarter of it of little worth.
     let mut sent = [Vec::new(), Vec::new()];
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -25,9 +25,10 @@
 
 impl Fleet {
     fn new(senders: u32, limit: f64) -> Fleet {
-        let class = Class { aim: 3 * S, deadline: 12 * S, window: 12 * S, ..class(Effect::Keyed) };
+        let class =
+            Class { aim: 3 * S, deadline: 12 * S, deduplication_window: 12 * S, ..class(RetrySafety::Keyed) };
         let settings = Settings {
-            senders,
+            replicas: senders,
             slots: 4,
             listed_rate: ListedRate::Exact,
             refused_price: 0.1,
@@ -95,8 +96,16 @@
         self.calls = out;
         for (n, id, attempt, at) in Vec::from_iter::<Vec<_>>(ended) {
             let (took, ended) = (self.now - at, outcome == Outcome::Ok);
-            let event =
-                Event::Outcome { id, attempt, target: 1, outcome, took, ended, wait: 0, report: None };
+            let event = Event::AttemptEnded {
+                id,
+                attempt,
+                target: 1,
+                outcome,
+                took,
+                message_ended: ended,
+                retry_after: 0,
+                report: None,
+            };
             let mut actions = Vec::new();
             self.senders[n].handle(self.now, event, &mut actions);
             self.closed += actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
@@ -117,9 +126,9 @@
     // One after the other gets its messages within a second, tries, and is refused.
     for n in 0..100 {
         fleet.hand_in(n, 6);
-        fleet.sent_in(ROUND, Outcome::Full);
+        fleet.sent_in(ROUND, Outcome::Rejected);
     }
-    fleet.sent_in(200 * MS, Outcome::Full);
+    fleet.sent_in(200 * MS, Outcome::Rejected);
     let seconds: Vec<usize> = (0..8).map(|_| fleet.sent_in(S, Outcome::Ok)).collect();
     let all: usize = seconds.iter().sum();
     // The limit in eight seconds, to a quarter.
@@ -142,7 +151,7 @@
 fn a_fleet_that_was_refused_at_once_does_not_come_again_at_once() {
     let mut fleet = Fleet::new(100, 25.0);
     (0..100).for_each(|n| fleet.hand_in(n, 6));
-    fleet.sent_in(200 * MS, Outcome::Full);
+    fleet.sent_in(200 * MS, Outcome::Rejected);
     // What the first pause after a refusal lets through is over by then.
     fleet.sent_in(2 * S, Outcome::Ok);
     let seconds: Vec<usize> = (0..6).map(|_| fleet.sent_in(S, Outcome::Ok)).collect();
@@ -154,7 +163,7 @@
 fn a_sender_of_a_large_fleet_saves_up_calls() {
     let mut fleet = Fleet::new(100, 25.0);
     fleet.hand_in(0, 1);
-    fleet.sent_in(200 * MS, Outcome::Full);
+    fleet.sent_in(200 * MS, Outcome::Rejected);
     fleet.sent_in(30 * S, Outcome::Ok);
     fleet.hand_in(0, 2);
     assert_eq!(fleet.sent_in(500 * MS, Outcome::Ok), 2);
@@ -165,7 +174,7 @@
 fn a_fleet_comes_back_to_the_listed_limit() {
     let mut fleet = Fleet::new(100, 200.0);
     (0..100).for_each(|n| fleet.hand_in(n, 10));
-    fleet.sent_in(9 * S, Outcome::Full);
+    fleet.sent_in(9 * S, Outcome::Rejected);
     (0..100).for_each(|n| fleet.hand_in(n, 30));
     fleet.sent_in(5 * S, Outcome::Ok);
     let sent = fleet.sent_in(5 * S, Outcome::Ok);
@@ -235,9 +244,10 @@
 
 /// What a destination that was out may get in the tip time, by the terms: a budget of what the settings allow what is
 /// cold then, and twice its root and two for chance, for the sum of all senders.
-fn allowed_when_cold(limit: f64, since: u64, rules: &Rules) -> f64 {
-    let warm = rules.cold_from + (1.0 - rules.cold_from) * (since as f64 / rules.ramp_time as f64).min(1.0);
-    let budget = limit * warm * rules.tip_multiple * rules.tip_after as f64 / S as f64;
+fn allowed_when_cold(limit: f64, since: u64, rules: &DestinationContract) -> f64 {
+    let warm = rules.cold_capacity_share
+        + (1.0 - rules.cold_capacity_share) * (since as f64 / rules.ramp_time as f64).min(1.0);
+    let budget = limit * warm * rules.overload_factor * rules.overload_duration as f64 / S as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
@@ -245,7 +255,7 @@
 /// uneven: the first of four senders has half of it. Some senders are started anew on the way.
 fn worst_when_cold(senders: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
     let mut fleet = Fleet::new(senders, if listed { limit } else { 0.0 });
-    let rules = fleet.settings.rules.clone();
+    let rules = fleet.settings.contract.clone();
     let (out_from, out_to, end) = (5 * S, 5 * S + outage, 18 * S + outage);
     let (mut counts, mut owed, mut dealt, mut told) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
     for round in 0..end / ROUND {
@@ -269,7 +279,7 @@
         told.extend(callers.clone().filter(|_| out));
         counts.push(callers.filter(|_| !out).map(|n| told.contains(&n)).collect::<Vec<_>>());
     }
-    let window = (rules.tip_after / ROUND) as usize;
+    let window = (rules.overload_duration / ROUND) as usize;
     let first = (out_to / ROUND) as usize;
     let worst = (first..counts.len() - window).map(|from| {
         let calls: Vec<bool> = counts[from..from + window].iter().flatten().copied().collect();
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -13,14 +13,14 @@
 const LONG: u64 = 300 * S;
 const SOON: u64 = S;
 
-fn short_lived(effect: Effect) -> Class {
+fn short_lived(effect: RetrySafety) -> Class {
     Class { aim: S, deadline: 2 * S, ..class(effect) }
 }
 
 fn idle_settings() -> Settings {
-    let classes = vec![short_lived(Effect::Repeatable), short_lived(Effect::Unsafe)];
+    let classes = vec![short_lived(RetrySafety::Repeatable), short_lived(RetrySafety::Unsafe)];
     let settings = settings(classes);
-    Settings { connection_idle: 2 * S, listed_rate: ListedRate::Exact, ..settings }
+    Settings { connection_idle_timeout: 2 * S, listed_rate: ListedRate::Exact, ..settings }
 }
 
 /// Hands in a message and lets its call end so.
@@ -52,7 +52,7 @@
 }
 
 fn is_kept(field: &mut Field) -> bool {
-    field.policy.active_routes() == 1
+    field.policy.active_route_count() == 1
 }
 
 fn gets_no_call(field: &mut Field) -> bool {
@@ -63,14 +63,14 @@
 fn a_listed_destination_has_state_from_its_first_message_until_it_is_idle() {
     let lines = (1..=1000).map(|number| endpoint(number, number)).collect();
     let mut field = Field::new(idle_settings(), lines);
-    assert_eq!((field.policy.active_routes(), field.policy.pool().listed), (0, 1000));
+    assert_eq!((field.policy.active_route_count(), field.policy.endpoint_counts().listed), (0, 1000));
     for round in 1..=3 {
         call(&mut field, Outcome::Ok, 0);
-        assert_eq!(field.policy.active_routes(), 1, "in round {round}");
+        assert_eq!(field.policy.active_route_count(), 1, "in round {round}");
         field.run(IDLE, silent);
-        assert_eq!(field.policy.active_routes(), 0, "in round {round}");
+        assert_eq!(field.policy.active_route_count(), 0, "in round {round}");
     }
-    assert_eq!(field.policy.pool(), Pool { listed: 1000, avoided: 0 });
+    assert_eq!(field.policy.endpoint_counts(), EndpointCounts { listed: 1000, ejected: 0 });
     assert_eq!(calls_for(&mut field, 5), 5);
     field.kept();
 }
@@ -86,7 +86,7 @@
 const CASES: [Case; 11] = [
     Case {
         name: "a told wait",
-        settings: |s| s.rules.tip_after = LONG,
+        settings: |s| s.contract.overload_duration = LONG,
         happens: |field| call(field, Outcome::Ok, LONG),
         outlives: gets_no_call,
     },
@@ -99,7 +99,7 @@
     },
     Case {
         name: "a slow start",
-        settings: |s| s.rules.ramp_time = LONG,
+        settings: |s| s.contract.ramp_time = LONG,
         happens: |field| {
             go_out(field);
             // So many that the share of failures falls under all bounds.
@@ -114,7 +114,7 @@
         name: "a rate limit that refusals have cut",
         settings: |_| {},
         happens: |field| {
-            call(field, Outcome::Full, 0);
+            call(field, Outcome::Rejected, 0);
             field.run(IDLE, serves(0));
         },
         outlives: is_kept,
@@ -133,16 +133,16 @@
         settings: |_| {},
         happens: |field| {
             call(field, Outcome::Ok, 0);
-            field.feed(Event::ByHand { target: 1, out: true });
+            field.feed(Event::EndpointAdminState { target: 1, disabled: true });
         },
-        outlives: |field| field.policy.active_routes() == 0 && gets_no_call(field),
+        outlives: |field| field.policy.active_route_count() == 0 && gets_no_call(field),
     },
     Case {
         name: "a re-admission that may be cold",
-        settings: |s| s.rules.ramp_time = LONG,
+        settings: |s| s.contract.ramp_time = LONG,
         happens: |field| {
-            field.feed(Event::ByHand { target: 1, out: true });
-            field.feed(Event::ByHand { target: 1, out: false });
+            field.feed(Event::EndpointAdminState { target: 1, disabled: true });
+            field.feed(Event::EndpointAdminState { target: 1, disabled: false });
         },
         outlives: |field| (1..15).contains(&calls_for(field, 40)),
     },
@@ -154,7 +154,7 @@
             let line = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
             field.list(ListKind::Delta, vec![line]);
         },
-        outlives: |field| field.policy.active_routes() == 0 && gets_no_call(field),
+        outlives: |field| field.policy.active_route_count() == 0 && gets_no_call(field),
     },
     Case {
         name: "a removal, against a list of a lower version",
@@ -166,7 +166,7 @@
         outlives: |field| {
             let late = Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint(1, 1)] };
             field.feed(late);
-            !field.policy.lists(1) && gets_no_call(field)
+            !field.policy.is_listed(1) && gets_no_call(field)
         },
     },
     Case {
@@ -197,9 +197,9 @@
     call(&mut field, Outcome::Ok, 0);
     field.list(ListKind::Full, vec![endpoint(2, 1)]);
     field.run(IDLE, silent);
-    assert_eq!(field.policy.pool().listed, 1);
+    assert_eq!(field.policy.endpoint_counts().listed, 1);
     field.list(ListKind::Full, vec![endpoint(1, 1)]);
-    assert_eq!((calls_for(&mut field, 5), field.policy.pool().listed), (5, 1));
+    assert_eq!((calls_for(&mut field, 5), field.policy.endpoint_counts().listed), (5, 1));
     assert!(field.mail.values().rev().take(5).all(|m| m.sent[0].target == 1));
     field.kept();
 }
@@ -214,7 +214,7 @@
         field.kept();
         let open: Vec<_> = field.mail.iter().filter(|(_, m)| m.over.is_none()).map(|(id, _)| *id).collect();
         assert!(open.is_empty(), "seed {seed}: never ended: {open:?}");
-        least = least.min(field.policy.active_routes());
+        least = least.min(field.policy.active_route_count());
     }
     // Of some thirty that had messages. What is in trouble is kept.
     assert!(least < 10, "{least} routes with state at the least");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -56,14 +56,14 @@
         while self.now < until {
             let done: Vec<_> = self.calls.extract_if(.., |(at, _)| *at <= self.now).collect();
             for (_, id) in done {
-                self.tell(Event::Outcome {
+                self.tell(Event::AttemptEnded {
                     id,
                     attempt: u32::from(self.tried.contains(&id)),
                     target: 1,
                     outcome: Outcome::Ok,
                     took: 50 * MS,
-                    ended: true,
-                    wait: 0,
+                    message_ended: true,
+                    retry_after: 0,
                     report: None,
                 });
             }
@@ -87,7 +87,7 @@
 /// The room that is kept free was made, at the start, by giving up what the log held.
 #[test]
 fn nothing_that_a_restart_finds_makes_room_for_another() {
-    let mut s = settings(vec![class(Effect::Keyed)]);
+    let mut s = settings(vec![class(RetrySafety::Keyed)]);
     s.max_held = 100;
     let mut restart = Restart::new(s, 2.0);
     (1..=99).for_each(|id| restart.find(id, 15 * S, 0, None));
@@ -101,7 +101,7 @@
 /// herd+mass: of 7,442 messages that restarts found untried, 4,141 were given up with no call. Newer ones went first.
 #[test]
 fn what_a_restart_finds_untried_goes_first_and_what_ends_first_before_the_rest() {
-    let mut restart = Restart::new(settings(vec![class(Effect::Keyed)]), 20.0);
+    let mut restart = Restart::new(settings(vec![class(RetrySafety::Keyed)]), 20.0);
     // Past its aim, and over long before all that is newer would have gone.
     (1..=30).for_each(|id| restart.find(id, 6 * S - id * 10 * MS, 0, None));
     for id in 1000..1080 {
@@ -118,8 +118,8 @@
 
 #[test]
 fn of_the_keys_that_a_restart_finds_those_rest_whose_call_may_run_on() {
-    let mut s = settings(vec![Class { in_order: true, ..class(Effect::Keyed) }]);
-    s.rules.order_pause = 5 * S;
+    let mut s = settings(vec![Class { in_order: true, ..class(RetrySafety::Keyed) }]);
+    s.contract.order_pause = 5 * S;
     let mut restart = Restart::new(s, 0.0);
     restart.find(1, 15 * S, 7, None);
     let begun = restart.now - S;
@@ -135,8 +135,8 @@
 /// them after all that the restart had found was over.
 #[test]
 fn a_restart_has_a_call_for_what_it_finds_before_its_time_is_over() {
-    let mut s = settings(vec![class(Effect::Keyed)]);
-    s.senders = 300;
+    let mut s = settings(vec![class(RetrySafety::Keyed)]);
+    s.replicas = 300;
     let first_call = |seed| {
         let mut restart = Restart::of_seed(seed, s.clone(), 30.0);
         restart.find(1, 3 * S, 0, None);
@@ -155,7 +155,7 @@
 /// had no time to come again, and it counted as never answered.
 #[test]
 fn what_is_over_is_not_handed_back() {
-    let mut restart = Restart::new(settings(vec![class(Effect::Repeatable)]), 0.0);
+    let mut restart = Restart::new(settings(vec![class(RetrySafety::Repeatable)]), 0.0);
     let end = |late: u64| {
         let (mut out, id) = (Vec::new(), 1 + late);
         let expires = restart.now + S;
@@ -168,7 +168,16 @@
         restart.now = expires - 1 + late;
         let outcome = Outcome::TimedOut;
         let (attempt, target, took, ended, wait, report) = (0, 1, S, false, 0, None);
-        let event = Event::Outcome { id, attempt, target, outcome, took, ended, wait, report };
+        let event = Event::AttemptEnded {
+            id,
+            attempt,
+            target,
+            outcome,
+            took,
+            message_ended: ended,
+            retry_after: wait,
+            report,
+        };
         restart.policy.handle(restart.now, event, &mut out);
         out.iter().any(|a| matches!(a, Action::Refuse { id: over, .. } if *over == id))
     };
--- a/tests/unsafe_messages.rs
+++ b/tests/unsafe_messages.rs
@@ -15,7 +15,7 @@
 
 /// Two destinations with one endpoint each, the first of which has answered messages of this class for a while.
 fn warmed(class_of_first: usize) -> Field {
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
+    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)];
     let mut field = Field::new(settings(classes), vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..60 {
         field.request(class_of_first, 1, 0);
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -13,14 +13,15 @@
 
 /// One destination with one endpoint. Each endpoint has a route of its own.
 fn one_destination() -> Field {
-    let settings = Settings { routes_apart: vec![true], ..settings(vec![class(Effect::Repeatable)]) };
+    let settings =
+        Settings { route_per_endpoint: vec![true], ..settings(vec![class(RetrySafety::Repeatable)]) };
     Field::new(settings, vec![endpoint(1, 1)])
 }
 
 /// Its only endpoint refuses a message and tells a wait.
 fn told_wait(field: &mut Field) {
     let id = field.request(0, 1, 0);
-    field.end(id, 0, Outcome::Full, WAIT);
+    field.end(id, 0, Outcome::Rejected, WAIT);
     field.run(WAIT / 2, silent);
     assert!(field.out().is_empty(), "a call within the wait");
 }
@@ -66,8 +67,8 @@
 fn a_wait_that_a_restart_takes_over_ends() {
     let mut field = one_destination();
     told_wait(&mut field);
-    let state = field.policy.hand_over().unwrap();
-    field.policy = DeliveryPolicy::take_over(&state, field.settings.clone()).unwrap();
+    let state = field.policy.export_state().unwrap();
+    field.policy = DeliveryPolicy::import_state(&state, field.settings.clone()).unwrap();
     field.run(OPEN_BY, serves(0));
     assert!(field.mail.values().all(|mail| mail.served));
     field.kept();
@@ -77,7 +78,7 @@
 fn a_process_that_stops_arms_no_timer_for_the_end_of_a_wait() {
     let mut field = one_destination();
     told_wait(&mut field);
-    field.feed(Event::Stopping { by: field.now });
+    field.feed(Event::Shutdown { at: field.now });
     let before = field.trace.len();
     field.run(OPEN_BY, silent);
     let due = |(at, action): &(u64, Action)| match action {
