--- a/src/bin/foldtrack/door.rs
+++ b/src/bin/foldtrack/admin_server.rs
@@ -1,8 +1,8 @@
 //! The door for operators: HTTP at an address of its own, one call to a connection. It decides nothing: a call that
 //! takes an endpoint out or puts it back becomes an event of the node, which answers it.
 
-use crate::events::{AdminRequest, AdminResponse, Input, Inputs};
-use crate::places::{Place, Places};
+use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
+use crate::events::{AdminRequest, AdminResponse, EventSender, NodeEvent};
 use crate::streams;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -35,7 +35,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Serves operators for as long as the process runs. Messages go on without it where it cannot listen.
-pub(crate) async fn serve(address: SocketAddr, inputs: Inputs) {
+pub(crate) async fn serve(address: SocketAddr, events: EventSender) {
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
@@ -43,20 +43,20 @@
         }
         sleep(BIND_PAUSE).await;
     };
-    let places = Places::new(CALLERS);
+    let connections = ConnectionLimit::new(CALLERS);
     loop {
         let accepted = match listener.accept().await {
-            Ok((stream, _)) => places.enter().await.map(|place| (stream, place)),
+            Ok((stream, _)) => connections.acquire().await.map(|permit| (stream, permit)),
             Err(_) => None,
         };
-        let Some((stream, (place, closed))) = accepted else {
+        let Some((stream, (permit, closed))) = accepted else {
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let inputs = inputs.clone();
+        let events = events.clone();
         tokio::spawn(async move {
             tokio::select! {
-                () = caller(stream, &inputs, &place) => {}
+                () = caller(stream, &events, &permit) => {}
                 // Only a caller that has asked for nothing yet is told to make room.
                 Ok(()) = closed => {}
             }
@@ -64,10 +64,10 @@
     }
 }
 
-async fn caller(stream: TcpStream, inputs: &Inputs, place: &Place) {
+async fn caller(stream: TcpStream, events: &EventSender, permit: &ConnectionPermit) {
     let due = Instant::now() + ANSWER_WAIT;
     let service = service_fn(|request| {
-        Box::pin(async move { Ok::<_, Infallible>(answer(request, inputs, place, due).await) })
+        Box::pin(async move { Ok::<_, Infallible>(answer(request, events, permit, due).await) })
     });
     let mut serving = http1::Builder::new()
         .max_buf_size(BUFFER)
@@ -78,16 +78,16 @@
         .serve_connection(TokioIo::new(stream), service);
     // Errors are the caller's: it has gone, or does not speak HTTP.
     let _ = poll_fn(|cx| serving.poll_without_shutdown(cx)).await;
-    streams::close(serving.into_parts().io.into_inner()).await;
+    streams::lingering_close(serving.into_parts().io.into_inner()).await;
 }
 
 async fn answer(
-    request: Request<Incoming>, inputs: &Inputs, place: &Place, due: Instant,
+    request: Request<Incoming>, events: &EventSender, permit: &ConnectionPermit, due: Instant,
 ) -> Response<Full<Bytes>> {
-    place.settle();
+    permit.mark_active();
     let AdminResponse { status, text } = match understand(request.method(), request.uri().path()) {
         Ok(asked) => match read_body(request.into_body()).await {
-            Ok(()) => put(asked, inputs, due).await,
+            Ok(()) => put(asked, events, due).await,
             Err(status) => AdminResponse::new(status, ""),
         },
         Err(Wrong::Unknown) => AdminResponse::new(StatusCode::NOT_FOUND, ""),
@@ -146,9 +146,9 @@
 }
 
 /// An answer that is not awaited any more is no, and its call has no effect.
-async fn put(request: AdminRequest, inputs: &Inputs, due: Instant) -> AdminResponse {
+async fn put(request: AdminRequest, events: &EventSender, due: Instant) -> AdminResponse {
     let (reply, told) = oneshot::channel();
-    inputs.send(Input::Admin { request, reply });
+    events.send(NodeEvent::Admin { request, reply });
     match timeout_at(due, told).await {
         Ok(Ok(told)) => told,
         _ => AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "not at present\n"),
--- a/src/bin/foldtrack/clients.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -1,12 +1,12 @@
 //! The HTTP server that clients hand their messages in to.
 
+use crate::admission::{Ticket, Turnstile};
 use crate::clock::Clock;
-use crate::events::{Answer, Input, Inputs, Receipt, Stage};
+use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
+use crate::events::{EventSender, LifecycleStage, NodeEvent, ResponseGuard, SubmitResponse};
 use crate::message::Message;
-use crate::places::{Place, Places};
-use crate::strain::Strain;
-use crate::streams::{self, Tap, Tapped};
-use crate::turnstile::{Ticket, Turnstile};
+use crate::overload::OverloadMonitor;
+use crate::streams::{self, ObservedStream, StreamObserver};
 use bytes::Bytes;
 use hatchline::settings::Parsed;
 use hatchline::{Effect, Micros};
@@ -61,9 +61,9 @@
 pub(crate) struct Desk {
     pub settings: Arc<Parsed>,
     pub clock: Clock,
-    pub inputs: Inputs,
-    pub stage: watch::Receiver<Stage>,
-    pub strain: Strain,
+    pub events: EventSender,
+    pub stage: watch::Receiver<LifecycleStage>,
+    pub strain: OverloadMonitor,
     pub stile: Turnstile,
 }
 
@@ -82,13 +82,13 @@
 }
 
 /// Serves connections for as long as the stage has it.
-pub(crate) async fn serve(listener: TcpListener, desk: Arc<Desk>, places: Places) {
+pub(crate) async fn serve(listener: TcpListener, desk: Arc<Desk>, connections: ConnectionLimit) {
     let mut stage = desk.stage.clone();
     let mut ticket = Ticket::new(&Turnstile::new(ACCEPTED_IN_A_TURN));
     let mut queue = BACKLOG;
     let (mut empty_at, mut draining, mut drained) = (Instant::now(), false, false);
     loop {
-        let wanted = backlog(desk.strain.mean_turn());
+        let wanted = backlog(desk.strain.mean_turn_time());
         if queue / 2 >= wanted || wanted >= 2 * queue || (wanted == BACKLOG && queue != wanted) {
             let_wait(&listener, wanted);
             queue = wanted;
@@ -109,13 +109,13 @@
             if !queued {
                 empty_at = Instant::now();
             }
-            Some((places.enter().await?, stream, empty_at.elapsed().min(CLIENT_WAIT)))
+            Some((connections.acquire().await?, stream, empty_at.elapsed().min(CLIENT_WAIT)))
         };
         let accepted = tokio::select! {
             accepted = accept => accepted,
             _ = stage.wait_for(|s| !s.accepts()), if !draining => {
                 // A successor accepts from the same queue. Else what waits in it would be reset unanswered.
-                if *desk.stage.borrow() == Stage::Succeeded {
+                if *desk.stage.borrow() == LifecycleStage::HandedOver {
                     if queue < BACKLOG {
                         let_wait(&listener, BACKLOG);
                     }
@@ -126,15 +126,15 @@
             }
         };
         match accepted {
-            Some((_, stream, _)) if desk.strain.is_on() && has_hung_up(&stream) => {
+            Some((_, stream, _)) if desk.strain.is_overloaded() && has_hung_up(&stream) => {
                 // Not beside the loop: what holds no place would hold descriptors without bound.
                 turn_away(stream).await;
             }
-            Some((place, stream, queued)) => {
+            Some((permit, stream, queued)) => {
                 let desk = desk.clone();
                 tokio::spawn(async move {
                     if stream.set_nodelay(true).is_ok() {
-                        connection(stream, desk, place, queued).await;
+                        connection(stream, desk, permit, queued).await;
                     }
                 });
             }
@@ -163,7 +163,7 @@
 async fn turn_away(mut stream: impl Client) {
     let refusal = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
     if stream.write_all(refusal).await.is_ok() {
-        streams::close(stream).await;
+        streams::lingering_close(stream).await;
     }
 }
 
@@ -197,7 +197,7 @@
     /// The answer is with the HTTP library: the next flush has written it.
     answered: bool,
     /// What tells whether that answer was written, if it takes a message on.
-    receipt: Option<Receipt>,
+    receipt: Option<ResponseGuard>,
     /// Something has come, and waits to be read.
     waiting: bool,
     /// It may have waited for so long until it was read, in all.
@@ -226,8 +226,8 @@
     }
 }
 
-impl<S: Client> Tap<S> for Admitted {
-    fn admit(&mut self, client: &S, cx: &mut Context) -> Poll<io::Result<()>> {
+impl<S: Client> StreamObserver<S> for Admitted {
+    fn poll_read_allowed(&mut self, client: &S, cx: &mut Context) -> Poll<io::Result<()>> {
         if self.line.progress().begun {
             return Poll::Ready(Ok(()));
         }
@@ -245,11 +245,11 @@
         Poll::Ready(Ok(()))
     }
 
-    fn read(&mut self, bytes: &[u8]) {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.line.progress().begun |= !bytes.is_empty();
     }
 
-    fn flushed(&mut self, _: &S, _: &mut Context) {
+    fn on_flush(&mut self, _: &S, _: &mut Context) {
         let mut progress = self.line.progress();
         if !progress.answered {
             return;
@@ -285,21 +285,21 @@
 }
 
 async fn connection(
-    stream: impl Client, desk: Arc<Desk>, (place, mut closed): (Place, oneshot::Receiver<()>),
+    stream: impl Client, desk: Arc<Desk>, (permit, mut closed): (ConnectionPermit, oneshot::Receiver<()>),
     queued: Duration,
 ) {
     let mut stage = desk.stage.clone();
     let closes = async {
-        let _ = stage.wait_for(|s| *s == Stage::Closing).await;
+        let _ = stage.wait_for(|s| *s == LifecycleStage::Closing).await;
         // What has come to the socket is seen by then.
         sleep(CLOSING).await;
     };
     let mut closes = pin!(closes);
-    let (place, line) = (&place, Line::default());
+    let (permit, line) = (&permit, Line::default());
     let tap = Admitted { line: line.clone(), ticket: Ticket::new(&desk.stile), queued };
     let service = service_fn(|request| {
         let (desk, line) = (desk.clone(), line.clone());
-        Box::pin(async move { Ok::<_, Infallible>(answer(request, &desk, place, &line).await) })
+        Box::pin(async move { Ok::<_, Infallible>(answer(request, &desk, permit, &line).await) })
     });
     let mut serving = http1::Builder::new()
         .max_buf_size(BUFFER)
@@ -307,7 +307,7 @@
         .header_read_timeout(HEAD_WAIT + HEAD_REST)
         // A client may end its sending side once its request is out, and still wait for the answer.
         .half_close(true)
-        .serve_connection(TokioIo::new(Tapped { stream, tap }), service);
+        .serve_connection(TokioIo::new(ObservedStream { stream, observer: tap }), service);
     let (mut newcomer, mut closing) = (true, false);
     let mut quiet = pin!(sleep(HEAD_WAIT));
     // A request that has come is read before the connection is told to close: it would be cut off unanswered.
@@ -318,7 +318,7 @@
             _ = poll_fn(|cx| serving.poll_without_shutdown(cx)) => break,
             told = &mut closed, if newcomer => {
                 newcomer = false;
-                if told.is_ok() && !place.pass_on() {
+                if told.is_ok() && !permit.decline_eviction() {
                     return;
                 }
             }
@@ -346,7 +346,7 @@
     if gone {
         turn_away(client).await;
     } else {
-        streams::close(client).await;
+        streams::lingering_close(client).await;
     }
 }
 
@@ -357,15 +357,15 @@
 }
 
 async fn answer(
-    request: Request<Incoming>, desk: &Desk, place: &Place, line: &Line,
+    request: Request<Incoming>, desk: &Desk, permit: &ConnectionPermit, line: &Line,
 ) -> Response<Full<Bytes>> {
     line.progress().headed = true;
     let mut response = match (request.method(), request.uri().path()) {
         (&Method::GET, "/healthz") => plain(StatusCode::OK),
-        _ => hand_in(request, desk, place, line).await.unwrap_or_else(plain),
+        _ => hand_in(request, desk, permit, line).await.unwrap_or_else(plain),
     };
     // A peer that does not speak the protocol keeps no place either.
-    if *desk.stage.borrow() != Stage::Serving || response.status().is_client_error() {
+    if *desk.stage.borrow() != LifecycleStage::Serving || response.status().is_client_error() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     line.progress().answered = true;
@@ -383,25 +383,25 @@
 
 /// Hands a message to the node and waits for what becomes of it.
 async fn hand_in(
-    request: Request<Incoming>, desk: &Desk, place: &Place, line: &Line,
+    request: Request<Incoming>, desk: &Desk, permit: &ConnectionPermit, line: &Line,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
     let waited = line.progress().waited;
     let message = read(request, desk, waited).await?;
-    place.settle();
+    permit.mark_active();
     if line.progress().late {
-        desk.inputs.send(Input::TurnedAway { class: message.class });
+        desk.events.send(NodeEvent::RefusedLate { class: message.class });
         let limits = &desk.settings.settings;
         let wait = if limits.may_advise_wait { limits.max_advised_wait.min(STRAIN_WAIT) } else { 0 };
         return Ok(refusal(wait.div_ceil(1000)));
     }
     let (reply, answer) = oneshot::channel();
-    desk.inputs.send(Input::HandIn { message: Arc::new(message), reply });
+    desk.events.send(NodeEvent::Submit { message: Arc::new(message), reply });
     match answer.await {
-        Ok(Answer::TakenOn(receipt)) => {
+        Ok(SubmitResponse::Accepted(receipt)) => {
             line.progress().receipt = Some(receipt);
             Ok(plain(StatusCode::ACCEPTED))
         }
-        Ok(Answer::Refused { retry_in_ms }) => Ok(refusal(retry_in_ms)),
+        Ok(SubmitResponse::Refused { retry_in_ms }) => Ok(refusal(retry_in_ms)),
         Err(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
@@ -409,7 +409,7 @@
 async fn read(request: Request<Incoming>, desk: &Desk, waited: Duration) -> Result<Message, StatusCode> {
     const BAD: StatusCode = StatusCode::BAD_REQUEST;
     // The client's time runs since it sent: what the body takes to come counts, and what the request waited to be read.
-    let sent = desk.clock.now().saturating_sub((waited + desk.strain.lag()).as_micros() as Micros);
+    let sent = desk.clock.now().saturating_sub((waited + desk.strain.event_loop_lag()).as_micros() as Micros);
     let path = request.uri().path().strip_prefix('/').unwrap_or_default();
     let (class_name, key) = path.split_once('/').unwrap_or((path, ""));
     let known = desk.settings.class_names.iter().position(|n| n == class_name);
@@ -471,5 +471,5 @@
 }
 
 #[cfg(test)]
-#[path = "clients_tests.rs"]
+#[path = "client_server_tests.rs"]
 mod tests;
--- a/src/bin/foldtrack/clients_tests.rs
+++ b/src/bin/foldtrack/client_server_tests.rs
@@ -22,11 +22,13 @@
     }
 }
 
-fn desk(stage: watch::Receiver<Stage>, inputs: Inputs) -> Arc<Desk> {
-    strained_desk(stage, inputs, Strain::default())
+fn desk(stage: watch::Receiver<LifecycleStage>, events: EventSender) -> Arc<Desk> {
+    strained_desk(stage, events, OverloadMonitor::default())
 }
 
-fn strained_desk(stage: watch::Receiver<Stage>, inputs: Inputs, strain: Strain) -> Arc<Desk> {
+fn strained_desk(
+    stage: watch::Receiver<LifecycleStage>, events: EventSender, strain: OverloadMonitor,
+) -> Arc<Desk> {
     let settings = json!({
         "balancers": 1,
         "categories": [{"name": "note", "aim": 3_000_000, "deadline": 16_000_000, "effect": "repeatable"}],
@@ -36,7 +38,7 @@
     Arc::new(Desk {
         settings,
         clock: Clock::new(),
-        inputs,
+        events,
         stage,
         strain,
         stile: Turnstile::new(READ_IN_A_TURN),
@@ -44,26 +46,28 @@
 }
 
 /// A peer, and the stage of the forwarder it has connected to.
-async fn connect() -> (DuplexStream, watch::Sender<Stage>) {
-    let (peer, stage, _) = connect_among(&Places::new(1)).await;
+async fn connect() -> (DuplexStream, watch::Sender<LifecycleStage>) {
+    let (peer, stage, _) = connect_among(&ConnectionLimit::new(1)).await;
     (peer, stage)
 }
 
 /// The same among others, for whom there are so many places; and the way to what the forwarder is handed.
-async fn connect_among(places: &Places) -> (DuplexStream, watch::Sender<Stage>, UnboundedReceiver<Input>) {
-    connect_over(1 << 20, places).await
+async fn connect_among(
+    connections: &ConnectionLimit,
+) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
+    connect_over(1 << 20, connections).await
 }
 
 /// The same over a network that holds so many bytes each way.
 async fn connect_over(
-    room: usize, places: &Places,
-) -> (DuplexStream, watch::Sender<Stage>, UnboundedReceiver<Input>) {
+    room: usize, connections: &ConnectionLimit,
+) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
     let (peer, ours) = duplex(room);
-    let (stage, seen) = watch::channel(Stage::Serving);
-    let (inputs, receiver) = events::channel();
-    let place = places.enter().await.expect("a place");
-    let desk = desk(seen, inputs);
-    tokio::spawn(connection(ours, desk, place, Duration::ZERO));
+    let (stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (events, receiver) = events::channel();
+    let permit = connections.acquire().await.expect("a place");
+    let desk = desk(seen, events);
+    tokio::spawn(connection(ours, desk, permit, Duration::ZERO));
     (peer, stage, receiver)
 }
 
@@ -114,14 +118,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_messages_time_counts_from_before_its_wait_to_be_read() {
     let (mut client, ours) = duplex(1024);
-    let (_stage, seen) = watch::channel(Stage::Serving);
-    let (inputs, mut receiver) = events::channel();
-    let (desk, place) = (desk(seen, inputs), Places::new(1).enter().await.expect("a place"));
+    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (events, mut receiver) = events::channel();
+    let (desk, permit) = (desk(seen, events), ConnectionLimit::new(1).acquire().await.expect("a place"));
     let now = desk.clock.now();
-    tokio::spawn(connection(ours, desk, place, Duration::from_millis(300)));
+    tokio::spawn(connection(ours, desk, permit, Duration::from_millis(300)));
     for queued in [300_000, 0] {
         client.write_all(LETTER).await.unwrap();
-        let Some(Input::HandIn { message, reply }) = receiver.recv().await else { panic!("not handed in") };
+        let Some(NodeEvent::Submit { message, reply }) = receiver.recv().await else {
+            panic!("not handed in")
+        };
         assert_eq!(message.expires, now - queued + 9_000_000, "only the first was queued");
         drop(reply);
         client.read_exact(&mut [0; 12]).await.expect("an answer");
@@ -131,21 +137,21 @@
 /// Found on r3546: silent peers held every place, and clients were accepted late or not at all.
 #[tokio::test(start_paused = true)]
 async fn silent_peers_make_room_but_a_client_that_has_handed_in_does_not() {
-    let places = Places::new(3);
+    let connections = ConnectionLimit::new(3);
     let mut taken = Vec::new();
     for _ in 0..3 {
-        taken.push(connect_among(&places).await);
+        taken.push(connect_among(&connections).await);
     }
-    let (client, _, inputs) = &mut taken[0];
+    let (client, _, events) = &mut taken[0];
     client.write_all(LETTER).await.unwrap();
-    let handed_in = inputs.recv().await;
-    assert!(matches!(handed_in, Some(Input::HandIn { .. })));
+    let handed_in = events.recv().await;
+    assert!(matches!(handed_in, Some(NodeEvent::Submit { .. })));
     let start = Instant::now();
-    let _first = places.enter().await;
+    let _first = connections.acquire().await;
     assert!(start.elapsed() < Duration::from_millis(100), "waited {:?} for a place", start.elapsed());
     let (_, took) = until_closed(&mut taken[1].0).await;
     assert!(took.is_zero(), "the peer that was silent longest stayed for {took:?}");
-    let _second = places.enter().await;
+    let _second = connections.acquire().await;
     let (_, took) = until_closed(&mut taken[2].0).await;
     assert!(took.is_zero(), "the other silent peer stayed for {took:?}");
     drop(handed_in);
@@ -155,11 +161,11 @@
 }
 
 /// Takes on what is handed in, as the node does.
-async fn take_on(inputs: &mut UnboundedReceiver<Input>) {
-    match inputs.recv().await {
-        Some(Input::HandIn { reply, .. }) => {
+async fn take_on(events: &mut UnboundedReceiver<NodeEvent>) {
+    match events.recv().await {
+        Some(NodeEvent::Submit { reply, .. }) => {
             let (to_node, _) = events::channel();
-            let _ = reply.send(Answer::TakenOn(Receipt::new(1, to_node)));
+            let _ = reply.send(SubmitResponse::Accepted(ResponseGuard::new(1, to_node)));
         }
         _ => panic!("nothing was handed in"),
     }
@@ -169,12 +175,12 @@
 /// the next newcomer goes in its place.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_is_whole_when_its_connection_is_to_make_room_has_its_answer() {
-    let places = Places::new(2);
-    let (mut client, _stage, mut inputs) = connect_among(&places).await;
-    let (mut silent, _silent_stage, _silent_inputs) = connect_among(&places).await;
+    let connections = ConnectionLimit::new(2);
+    let (mut client, _stage, mut events) = connect_among(&connections).await;
+    let (mut silent, _silent_stage, _silent_inputs) = connect_among(&connections).await;
     client.write_all(LETTER).await.unwrap();
     // Nothing has run since: the oldest newcomer is told to go before its request is read.
-    let (next, ()) = tokio::join!(places.enter(), take_on(&mut inputs));
+    let (next, ()) = tokio::join!(connections.acquire(), take_on(&mut events));
     assert!(next.is_some());
     let mut answer = [0; 12];
     client.read_exact(&mut answer).await.expect("the client has its answer");
@@ -188,11 +194,13 @@
 async fn a_message_counts_as_taken_on_once_its_answer_is_written_whole() {
     for leaves in [false, true] {
         // The network has room for a part of the answer.
-        let (mut client, _stage, mut inputs) = connect_over(32, &Places::new(1)).await;
+        let (mut client, _stage, mut events) = connect_over(32, &ConnectionLimit::new(1)).await;
         client.write_all(LETTER).await.unwrap();
         let (to_node, mut told) = events::channel();
-        let Some(Input::HandIn { reply, .. }) = inputs.recv().await else { panic!("nothing was handed in") };
-        let _ = reply.send(Answer::TakenOn(Receipt::new(7, to_node)));
+        let Some(NodeEvent::Submit { reply, .. }) = events.recv().await else {
+            panic!("nothing was handed in")
+        };
+        let _ = reply.send(SubmitResponse::Accepted(ResponseGuard::new(7, to_node)));
         sleep(Duration::from_millis(50)).await;
         assert!(told.try_recv().is_err(), "told before the answer was written");
         if leaves {
@@ -201,7 +209,7 @@
             client.read_exact(&mut [0; 64]).await.expect("the answer");
         }
         match told.recv().await {
-            Some(Input::Answered { number: 7, written }) => assert_eq!(written, !leaves),
+            Some(NodeEvent::ResponseEnded { number: 7, written }) => assert_eq!(written, !leaves),
             _ => panic!("not told"),
         }
     }
@@ -210,17 +218,17 @@
 /// A request of which a part has come when the process is about to end has its answer too, on a kept connection.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_comes_in_pieces_while_connections_close_has_its_answer() {
-    let (mut client, stage, mut inputs) = connect_among(&Places::new(1)).await;
+    let (mut client, stage, mut events) = connect_among(&ConnectionLimit::new(1)).await;
     client.write_all(LETTER).await.unwrap();
-    take_on(&mut inputs).await;
+    take_on(&mut events).await;
     client.read_exact(&mut [0; 20]).await.expect("the first answer");
     let (first, rest) = LETTER.split_at(30);
     client.write_all(first).await.unwrap();
     sleep(Duration::from_millis(1)).await;
-    stage.send_replace(Stage::Closing);
+    stage.send_replace(LifecycleStage::Closing);
     sleep(Duration::from_millis(1)).await;
     client.write_all(rest).await.expect("the connection is open");
-    take_on(&mut inputs).await;
+    take_on(&mut events).await;
     let (answer, _) = until_closed(&mut client).await;
     assert!(answer.contains("HTTP/1.1 202") && answer.contains("connection: close"), "{answer}");
 }
@@ -228,8 +236,8 @@
 /// To close a socket with unread bytes resets it, which can take back an answer on its way.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_sends_more_than_is_answered_is_read_on_while_its_connection_closes() {
-    let (mut client, stage, mut inputs) = connect_over(1024, &Places::new(1)).await;
-    stage.send_replace(Stage::Draining);
+    let (mut client, stage, mut events) = connect_over(1024, &ConnectionLimit::new(1)).await;
+    stage.send_replace(LifecycleStage::Draining);
     let more = [LETTER, &[b'x'; 3 * BUFFER]].concat();
     let (mut reading, mut writing) = tokio::io::split(&mut client);
     let sends = async {
@@ -237,7 +245,7 @@
         writing.shutdown().await.expect("the connection stands");
     };
     let mut answer = String::new();
-    let (_, _, read) = tokio::join!(sends, take_on(&mut inputs), reading.read_to_string(&mut answer));
+    let (_, _, read) = tokio::join!(sends, take_on(&mut events), reading.read_to_string(&mut answer));
     read.expect("an end");
     assert!(answer.starts_with("HTTP/1.1 202"), "{answer}");
 }
@@ -253,15 +261,19 @@
     let mut waits = TcpStream::connect(address).await.unwrap();
     let other = std::str::from_utf8(LETTER).unwrap().replace("X-Request-Id: m", "X-Request-Id: waits");
     waits.write_all(other.as_bytes()).await.unwrap();
-    let (_stage, seen) = watch::channel(Stage::Serving);
-    let (inputs, mut receiver) = events::channel();
-    tokio::spawn(serve(listener, strained_desk(seen, inputs, Strain::lasting()), Places::new(4)));
+    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (events, mut receiver) = events::channel();
+    tokio::spawn(serve(
+        listener,
+        strained_desk(seen, events, OverloadMonitor::lasting()),
+        ConnectionLimit::new(4),
+    ));
     let mut answer = String::new();
     let read = timeout(10 * OWED, hung_up.read_to_string(&mut answer)).await;
     read.expect("an answer").expect("an end");
     assert!(answer.starts_with("HTTP/1.1 503") && answer.ends_with("\r\n\r\n"), "{answer}");
     match receiver.recv().await {
-        Some(Input::HandIn { message, .. }) => assert_eq!(message.id, "waits"),
+        Some(NodeEvent::Submit { message, .. }) => assert_eq!(message.id, "waits"),
         _ => panic!("nothing was handed in"),
     }
     assert!(receiver.try_recv().is_err(), "the other was handed in too");
@@ -283,13 +295,13 @@
 async fn in_one_turn_of_the_runtime_only_a_few_requests_are_taken_in() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (_stage, seen) = watch::channel(Stage::Serving);
-    let (inputs, mut receiver) = events::channel();
-    tokio::spawn(serve(listener, desk(seen, inputs), Places::new(100)));
+    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (events, mut receiver) = events::channel();
+    tokio::spawn(serve(listener, desk(seen, events), ConnectionLimit::new(100)));
     let mut clients = clients(address, 5 * READ_IN_A_TURN).await;
     for client in &mut clients {
         match receiver.recv().await {
-            Some(Input::HandIn { reply, .. }) => drop(reply),
+            Some(NodeEvent::Submit { reply, .. }) => drop(reply),
             _ => panic!("nothing was handed in"),
         }
         // The connections stand, and all have something to say at one moment.
@@ -318,12 +330,12 @@
         both[0].shutdown().await.unwrap();
         both[1].shutdown().await.unwrap();
     }
-    let (_stage, seen) = watch::channel(Stage::Serving);
-    let (inputs, mut receiver) = events::channel();
-    let narrow = Desk { stile: Turnstile::new(1), ..Arc::into_inner(desk(seen, inputs)).unwrap() };
-    tokio::spawn(serve(listener, Arc::new(narrow), Places::new(4)));
+    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (events, mut receiver) = events::channel();
+    let narrow = Desk { stile: Turnstile::new(1), ..Arc::into_inner(desk(seen, events)).unwrap() };
+    tokio::spawn(serve(listener, Arc::new(narrow), ConnectionLimit::new(4)));
     let first = receiver.recv().await;
-    assert!(matches!(first, Some(Input::HandIn { .. })));
+    assert!(matches!(first, Some(NodeEvent::Submit { .. })));
     // The loop comes late.
     std::thread::sleep(LATE);
     drop(first);
@@ -334,8 +346,8 @@
         answers.push_str(std::str::from_utf8(&answer[..n]).unwrap());
     }
     while let Ok(input) = receiver.try_recv() {
-        handed_in += usize::from(matches!(input, Input::HandIn { .. }));
-        counted |= matches!(input, Input::TurnedAway { class: 0 });
+        handed_in += usize::from(matches!(input, NodeEvent::Submit { .. }));
+        counted |= matches!(input, NodeEvent::RefusedLate { class: 0 });
     }
     (answers, handed_in, counted)
 }
@@ -366,9 +378,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let count = 3 * ACCEPTED_IN_A_TURN;
     let mut waiting = clients(listener.local_addr().unwrap(), count).await;
-    let (_stage, seen) = watch::channel(Stage::Closing);
-    let (inputs, mut receiver) = events::channel();
-    let serving = tokio::spawn(serve(listener, desk(seen, inputs), Places::new(count)));
+    let (_stage, seen) = watch::channel(LifecycleStage::Closing);
+    let (events, mut receiver) = events::channel();
+    let serving = tokio::spawn(serve(listener, desk(seen, events), ConnectionLimit::new(count)));
     for client in &mut waiting {
         take_on(&mut receiver).await;
         client.readable().await.unwrap();
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -2,7 +2,7 @@
 //! whole and the first line of its answer.
 
 use crate::message::Message;
-use crate::streams::{Tap, Tapped};
+use crate::streams::{ObservedStream, StreamObserver};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -116,12 +116,12 @@
     tell: F,
 }
 
-impl<S, F: Fn(usize)> Tap<S> for CallTap<F> {
-    fn read(&mut self, bytes: &[u8]) {
+impl<S, F: Fn(usize)> StreamObserver<S> for CallTap<F> {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.first_line.add(bytes);
     }
 
-    fn flushed(&mut self, _: &S, _: &mut Context) {
+    fn on_flush(&mut self, _: &S, _: &mut Context) {
         let class = self.written.swap(NOTHING, Ordering::Relaxed);
         if class != NOTHING {
             (self.tell)(class);
@@ -166,7 +166,7 @@
         let written = Written::new(AtomicUsize::new(NOTHING));
         let first_line = FirstLine::default();
         let tap = CallTap { written: written.clone(), first_line: first_line.clone(), tell };
-        let tapped = Tapped { stream, tap };
+        let tapped = ObservedStream { stream, observer: tap };
         let handshake = http1::Builder::new().max_buf_size(HEAD_BYTES).handshake(TokioIo::new(tapped)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         // Errors reach the call that is out; between calls they only end the connection.
--- a/src/bin/foldtrack/places.rs
+++ b/src/bin/foldtrack/connection_limit.rs
@@ -31,7 +31,7 @@
 
 /// The places of one listener.
 #[derive(Clone)]
-pub(crate) struct Places {
+pub(crate) struct ConnectionLimit {
     free: Arc<Semaphore>,
     most: usize,
     newcomers: Shared<Newcomers>,
@@ -39,20 +39,20 @@
 
 /// A connection's place, free again when this is dropped. Until it is settled the connection is a newcomer, which
 /// makes room for a later one where all places are taken.
-pub(crate) struct Place {
+pub(crate) struct ConnectionPermit {
     number: u64,
     newcomers: Shared<Newcomers>,
     settled: AtomicBool,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Places {
-    pub fn new(most: usize) -> Places {
-        Places { free: Arc::new(Semaphore::new(most)), most, newcomers: Shared::default() }
+impl ConnectionLimit {
+    pub fn new(most: usize) -> ConnectionLimit {
+        ConnectionLimit { free: Arc::new(Semaphore::new(most)), most, newcomers: Shared::default() }
     }
 
     /// How many are taken.
-    pub fn taken(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.most.saturating_sub(self.free.available_permits())
     }
 
@@ -64,7 +64,7 @@
 
     /// A place, and what tells that it is to be given up. Where there is none, the connection that has been silent
     /// longest makes room.
-    pub async fn enter(&self) -> Option<(Place, oneshot::Receiver<()>)> {
+    pub async fn acquire(&self) -> Option<(ConnectionPermit, oneshot::Receiver<()>)> {
         let permit = match self.free.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
@@ -78,7 +78,7 @@
         newcomers.next += 1;
         newcomers.closers.insert(number, closer);
         Some((
-            Place {
+            ConnectionPermit {
                 number,
                 newcomers: self.newcomers.clone(),
                 settled: AtomicBool::new(false),
@@ -89,15 +89,15 @@
     }
 }
 
-impl Place {
+impl ConnectionPermit {
     /// The connection has asked for something: it keeps its place.
-    pub fn settle(&self) {
+    pub fn mark_active(&self) {
         self.settled.store(true, Ordering::Relaxed);
         lock(&self.newcomers).closers.remove(&self.number);
     }
 
     /// Told to make room, a connection that has settled meanwhile has the next newcomer do so. Whether it may stay.
-    pub fn pass_on(&self) -> bool {
+    pub fn decline_eviction(&self) -> bool {
         let settled = self.settled.load(Ordering::Relaxed);
         if settled {
             close_oldest(&self.newcomers);
@@ -106,8 +106,8 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.settle();
+        self.mark_active();
     }
 }
--- a/src/bin/foldtrack/discovery_client.rs
+++ b/src/bin/foldtrack/discovery_client.rs
@@ -2,7 +2,7 @@
 //! to the node.
 
 use crate::connection::{Connection, Payload};
-use crate::events::{Input, Inputs};
+use crate::events::{EventSender, NodeEvent};
 use bytes::Bytes;
 use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent};
 use hatchline::discovery::{ListRequest, Reply, Transport, TransportError};
@@ -18,10 +18,10 @@
 
 /// A client that tells the node of each list. The caller runs it.
 pub(crate) fn client(
-    settings: &Settings, inputs: Inputs,
+    settings: &Settings, inputs: EventSender,
 ) -> Client<HttpTransport, impl FnMut(DiscoveryEvent) + Send> {
     let on_event = move |event| match event {
-        DiscoveryEvent::List(list) => inputs.send(Input::List(list)),
+        DiscoveryEvent::List(list) => inputs.send(NodeEvent::List(list)),
         DiscoveryEvent::UnusableReply { status, error } => {
             let reason = error.map_or_else(|| "no list".to_string(), |error| error.to_string());
             eprintln!("discovery: status {status}, {reason}");
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -16,39 +16,39 @@
 
 /// How far the process is from its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum LifecycleStage {
     Serving,
     /// Told to end: answers close their connections.
     Draining,
     /// The same, and nothing is accepted any more: a successor does that.
-    Succeeded,
+    HandedOver,
     /// Nothing is accepted any more, and idle connections close.
     Closing,
 }
 
-impl Stage {
+impl LifecycleStage {
     /// Whether new connections are accepted.
     pub fn accepts(self) -> bool {
-        matches!(self, Stage::Serving | Stage::Draining)
+        matches!(self, LifecycleStage::Serving | LifecycleStage::Draining)
     }
 }
 
 /// What a client is told.
-pub(crate) enum Answer {
-    TakenOn(Receipt),
+pub(crate) enum SubmitResponse {
+    Accepted(ResponseGuard),
     Refused { retry_in_ms: u64 },
 }
 
 /// Tells the node, when it is dropped, whether the client's answer has been written.
-pub(crate) struct Receipt {
+pub(crate) struct ResponseGuard {
     number: u64,
-    inputs: Inputs,
+    events: EventSender,
     pub written: bool,
 }
 
-impl Receipt {
-    pub fn new(number: u64, inputs: Inputs) -> Receipt {
-        Receipt { number, inputs, written: false }
+impl ResponseGuard {
+    pub fn new(number: u64, events: EventSender) -> ResponseGuard {
+        ResponseGuard { number, events, written: false }
     }
 
     pub fn number(&self) -> u64 {
@@ -56,43 +56,43 @@
     }
 }
 
-impl Drop for Receipt {
+impl Drop for ResponseGuard {
     fn drop(&mut self) {
-        self.inputs.send(Input::Answered { number: self.number, written: self.written });
+        self.events.send(NodeEvent::ResponseEnded { number: self.number, written: self.written });
     }
 }
 
 /// What happens to the node.
-pub(crate) enum Input {
-    HandIn {
+pub(crate) enum NodeEvent {
+    Submit {
         message: Arc<Message>,
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<SubmitResponse>,
     },
-    Answered {
+    ResponseEnded {
         number: u64,
         written: bool,
     },
     /// A message of this class was refused before it was handed in, for want of time.
-    TurnedAway {
+    RefusedLate {
         class: usize,
     },
     CallEnded(CallEnd),
     List(ServerList),
     /// Notices were taken.
-    Reported {
+    NoticesAcknowledged {
         numbers: Vec<u64>,
     },
     /// Discovery is found there from now on.
-    Discovery(SocketAddr),
+    DiscoveryAddress(SocketAddr),
     /// A call's connection stands: may it be written still?
     Connected {
         number: u64,
         attempt: u32,
         target: TargetId,
-        go: oneshot::Sender<bool>,
+        proceed: oneshot::Sender<bool>,
     },
     /// A message of this class has been written whole to an endpoint.
-    Written {
+    MessageWritten {
         class: usize,
     },
     /// A request to the admin server.
@@ -108,19 +108,19 @@
 /// The way to the node. The queue has no bound of its own: each connection and each call has one input under
 /// way, and connections and calls are bounded.
 #[derive(Clone)]
-pub(crate) struct Inputs(UnboundedSender<Input>);
+pub(crate) struct EventSender(UnboundedSender<NodeEvent>);
 
-impl Inputs {
-    pub fn send(&self, input: Input) {
+impl EventSender {
+    pub fn send(&self, input: NodeEvent) {
         // The node is gone only when the process ends.
         let _ = self.0.send(input);
     }
 }
 
 /// The channel to a node that is yet to run.
-pub(crate) fn channel() -> (Inputs, UnboundedReceiver<Input>) {
+pub(crate) fn channel() -> (EventSender, UnboundedReceiver<NodeEvent>) {
     let (sender, receiver) = mpsc::unbounded_channel();
-    (Inputs(sender), receiver)
+    (EventSender(sender), receiver)
 }
 
 /// How a call ended.
@@ -129,40 +129,43 @@
     pub number: u64,
     pub attempt: u32,
     pub target: TargetId,
-    pub begun: Instant,
+    pub started_at: Instant,
     pub outcome: Outcome,
     /// The answer says that nothing is owed for the message any more.
-    pub over: bool,
+    pub completes_message: bool,
     /// How long its connection had stood idle before, if it did.
     pub idle_for: Option<Duration>,
     /// Nothing is to be sent to the destination until then.
     pub wait_until: Option<Instant>,
-    pub report: Option<LimitReport>,
+    pub limit_report: Option<LimitReport>,
     /// The answer told its outcome and did not come to its end.
-    pub cut_short: bool,
+    pub response_truncated: bool,
     /// That of the call.
-    pub era: u32,
+    pub generation: u32,
     /// Fit for the next call.
     pub connection: Option<Connection>,
 }
 
 impl CallEnd {
     /// The end of a call that began now and told nothing more.
-    pub fn new(number: u64, attempt: u32, target: TargetId, outcome: Outcome, over: bool) -> CallEnd {
-        let begun = Instant::now();
-        let (idle_for, wait_until, report, cut_short, era, connection) = (None, None, None, false, 0, None);
+    pub fn new(
+        number: u64, attempt: u32, target: TargetId, outcome: Outcome, completes_message: bool,
+    ) -> CallEnd {
+        let started_at = Instant::now();
+        let (idle_for, wait_until, limit_report, response_truncated, generation, connection) =
+            (None, None, None, false, 0, None);
         CallEnd {
             number,
             attempt,
             target,
-            begun,
+            started_at,
             outcome,
-            over,
+            completes_message,
             idle_for,
             wait_until,
-            report,
-            cut_short,
-            era,
+            limit_report,
+            response_truncated,
+            generation,
             connection,
         }
     }
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -2,57 +2,57 @@
 //! and the platform.
 #![warn(missing_docs)]
 
-mod clients;
+mod admin_server;
+mod admission;
+mod client_server;
 mod clock;
 mod config;
 mod connection;
+mod connection_limit;
 mod discovery_client;
-mod door;
 mod events;
-mod figures;
+mod interval_stats;
 mod journal;
 mod last_list;
 mod message;
+mod metrics;
 mod node;
 mod out;
-mod places;
+mod overload;
 mod relay;
 mod report_client;
-mod strain;
 mod streams;
-mod tally;
 mod targets;
-mod turnstile;
 mod upgrade;
 
 use config::Config;
-use events::Input;
+use events::NodeEvent;
 use relay::Rest;
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 use tokio::signal::unix::{signal, SignalKind};
 
 async fn run(config: Config) -> Result<Rest, String> {
-    let (inputs, receiver) = events::channel();
+    let (events, receiver) = events::channel();
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = inputs.clone();
+    let to_node = events.clone();
     tokio::spawn(async move {
         while terminate.recv().await.is_some() {
-            to_node.send(Input::Terminate);
+            to_node.send(NodeEvent::Terminate);
         }
     });
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = inputs.clone();
+    let to_node = events.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
             match Config::discovery_now() {
-                Ok(address) => to_node.send(Input::Discovery(address)),
+                Ok(address) => to_node.send(NodeEvent::DiscoveryAddress(address)),
                 Err(error) => eprintln!("foldtrack: discovery stays where it is: {error}"),
             }
         }
     });
     let (listen, state) = (config.listen, config.state.clone());
-    let end = node::run(config, inputs, receiver).await;
+    let end = node::run(config, events, receiver).await;
     end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -1,24 +1,27 @@
 //! The loop that owns all state: the module, the messages and the journal. What sockets and timers tell
-//! comes in as [`Input`]s; what the module decides goes out, in its order.
+//! comes in as [`NodeEvent`]s; what the module decides goes out, in its order.
 
-use crate::clients::{self, Desk};
+use crate::admin_server;
+use crate::admission::Turnstile;
+use crate::client_server::{self, Desk};
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::connection_limit::ConnectionLimit;
 use crate::discovery_client;
-use crate::door;
-use crate::events::{AdminRequest, AdminResponse, Answer, CallEnd, Input, Inputs, Receipt, Stage};
-use crate::figures::{Ended, Figures};
+use crate::events::{
+    AdminRequest, AdminResponse, CallEnd, EventSender, LifecycleStage, NodeEvent, ResponseGuard,
+    SubmitResponse,
+};
+use crate::interval_stats::{Standing, Tally, Untried};
 use crate::journal::{Fate, Journal, Notice, Record, Restored};
 use crate::last_list::{self, LastList};
 use crate::message::{order_key, Message};
+use crate::metrics::{MessageResult, Metrics};
 use crate::out::{self, TakenOut};
-use crate::places::Places;
+use crate::overload::OverloadMonitor;
 use crate::relay::Rest;
 use crate::report_client::ReportClient;
-use crate::strain::Strain;
-use crate::tally::{Standing, Tally, Untried};
 use crate::targets::{self, Call, IdleConnections};
-use crate::turnstile::Turnstile;
 use crate::upgrade::{self, Lock, Start};
 use hatchline::discovery::list::{ServerList, ServerState};
 use hatchline::settings::Parsed;
@@ -45,8 +48,8 @@
 /// Inputs that one round takes in at most.
 const ROUND: usize = 1024;
 /// After SIGTERM: how long connections are still accepted, and by when the process has ended.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-const END_BY: Duration = Duration::from_millis(3300);
+const ACCEPT_AFTER_TERMINATE: Duration = Duration::from_millis(500);
+const TERMINATE_TIMEOUT: Duration = Duration::from_millis(3300);
 /// Notices in one report.
 const NOTICES: usize = 64;
 /// A send that has waited for longer than this is decided anew.
@@ -59,29 +62,29 @@
 const SWEEP: Duration = Duration::from_secs(1);
 
 /// How far the client has been told that its message is taken on.
-enum Taken {
+enum Acceptance {
     /// Not at all: the module may refuse it yet.
-    Fresh(oneshot::Sender<Answer>),
+    Undecided(oneshot::Sender<SubmitResponse>),
     /// The answer is on its way.
-    Answering,
+    Responding,
     /// Told.
-    On,
+    Accepted,
 }
 
 /// A send that the module has decided on.
-struct Waiting {
+struct PendingSend {
     attempt: u32,
     target: TargetId,
     until: Micros,
-    decided: Micros,
+    decided_at: Micros,
 }
 
-struct Held {
+struct HeldMessage {
     message: Arc<Message>,
-    taken: Taken,
+    acceptance: Acceptance,
     attempts: u32,
     /// A send that the module has decided on, but that must not go yet: see [`Node::send`].
-    waiting: Option<Waiting>,
+    pending_send: Option<PendingSend>,
 }
 
 /// A message that ends by a notice; it is over once that is answered.
@@ -92,19 +95,19 @@
 }
 
 /// A call that is out.
-struct Out {
+struct InFlightCall {
     target: TargetId,
     /// What calls it off, unless it has been.
     cancel: Option<oneshot::Sender<()>>,
     /// It stands in the journal: from then on it may have run.
-    begun: bool,
+    started: bool,
 }
 
-struct Server {
+struct KnownEndpoint {
     address: SocketAddr,
     zone: u32,
     /// Grows when an operator takes it out or puts it back: connections of an older one are not used again.
-    era: u32,
+    generation: u32,
 }
 
 struct Node {
@@ -112,11 +115,11 @@
     policy: DeliveryPolicy,
     settings: Arc<Parsed>,
     journal: Journal,
-    inputs: Inputs,
+    events: EventSender,
     discovery: watch::Sender<SocketAddr>,
     next_number: u64,
     /// What is taken on, or may be, by number in the order of arrival.
-    messages: BTreeMap<u64, Held>,
+    messages: BTreeMap<u64, HeldMessage>,
     /// Those of this round whose clients wait for an answer.
     fresh: Vec<u64>,
     /// Ends that the platform has not taken yet, and which of them are to be sent now.
@@ -124,49 +127,49 @@
     unsent: BTreeSet<u64>,
     reports: ReportClient,
     /// By message and attempt.
-    calls: BTreeMap<(u64, u32), Out>,
+    calls: BTreeMap<(u64, u32), InFlightCall>,
     idle: IdleConnections,
     swept: Instant,
     tally: Tally,
     untried: Untried,
-    figures: Figures,
+    metrics: Metrics,
     taken_out: TakenOut,
     last_list: LastList,
     /// Clients are accepted.
     accepting: bool,
     target_ids: HashMap<String, TargetId>,
-    servers: Vec<Server>,
+    endpoints: Vec<KnownEndpoint>,
     timers: BTreeSet<(Micros, u32)>,
-    stage: watch::Sender<Stage>,
-    terminated: Option<Instant>,
+    stage: watch::Sender<LifecycleStage>,
+    terminated_at: Option<Instant>,
     /// Who owns all this, and what clients are accepted from, to be handed to a successor.
     lock: Option<Lock>,
     listener: Option<OwnedFd>,
     successor: Option<UnixStream>,
-    places: Places,
-    strain: Strain,
+    connection_limit: ConnectionLimit,
+    overload: OverloadMonitor,
     actions: Vec<Action>,
 }
 
 /// Takes over from the process that runs, or restores what the journal holds; then serves until it is told to end,
 /// or has handed over and has nothing left to do.
 pub(crate) async fn run(
-    config: Config, inputs: Inputs, mut receiver: UnboundedReceiver<Input>,
+    config: Config, events: EventSender, mut receiver: UnboundedReceiver<NodeEvent>,
 ) -> io::Result<Rest> {
     if let Some(address) = config.admin {
-        tokio::spawn(door::serve(address, inputs.clone()));
+        tokio::spawn(admin_server::serve(address, events.clone()));
     }
     let (format, meeting) = (upgrade::format_of(&config.settings), upgrade::meeting_point(&config.state));
     let (mut node, listener) = loop {
         match upgrade::begin(&config.state, &meeting, &format).await? {
-            Start::Alone(lock) => break (Node::restored(&config, &inputs, lock)?, None),
-            Start::Successor(offer) => match Node::succeeding(&config, &inputs, *offer) {
+            Start::Alone(lock) => break (Node::restored(&config, &events, lock)?, None),
+            Start::Successor(offer) => match Node::succeeding(&config, &events, *offer) {
                 Ok((node, listener)) => break (node, Some(listener)),
                 Err(error) => eprintln!("upgrade: nothing was handed over: {error}"),
             },
         }
     };
-    let discovery_client = discovery_client::client(&node.settings.settings, inputs.clone());
+    let discovery_client = discovery_client::client(&node.settings.settings, events.clone());
     let watching =
         tokio::spawn(discovery_client.run(node.discovery.subscribe(), config.known.known_version()));
     let mut batch = Vec::new();
@@ -183,11 +186,12 @@
     };
     node.listener = Some(listener.as_fd().try_clone_to_owned()?);
     let (settings, clock, stage) = (node.settings.clone(), node.clock, node.stage.subscribe());
-    let (strain, stile) = (node.strain.clone(), Turnstile::new(clients::READ_IN_A_TURN));
-    let desk = Desk { settings, clock, inputs: inputs.clone(), stage, strain, stile };
-    let accepting = tokio::spawn(clients::serve(listener, Arc::new(desk), node.places.clone()));
+    let (strain, stile) = (node.overload.clone(), Turnstile::new(client_server::READ_IN_A_TURN));
+    let desk = Desk { settings, clock, events: events.clone(), stage, strain, stile };
+    let accepting =
+        tokio::spawn(client_server::serve(listener, Arc::new(desk), node.connection_limit.clone()));
     node.accepting = true;
-    let meeting = upgrade::await_successor(&meeting, format, inputs);
+    let meeting = upgrade::await_successor(&meeting, format, events);
     if let Err(error) = &meeting {
         eprintln!("upgrade: no successor can take over while this process runs: {error}");
     }
@@ -208,18 +212,18 @@
         tokio::select! {
             biased;
             // First, since this writes what the round has decided.
-            numbers = node.reports.taken() => batch.push(Input::Reported { numbers }),
+            numbers = node.reports.taken() => batch.push(NodeEvent::NoticesAcknowledged { numbers }),
             _ = receiver.recv_many(&mut batch, ROUND) => {}
             () = sleep_until(wake) => {}
         }
-        node.strain.note(wake.elapsed());
+        node.overload.record_delay(wake.elapsed());
     }
     Ok(Rest::Done)
 }
 
 impl Node {
     fn new(
-        config: &Config, inputs: &Inputs, clock: Clock, policy: DeliveryPolicy,
+        config: &Config, events: &EventSender, clock: Clock, policy: DeliveryPolicy,
     ) -> io::Result<(Node, BTreeMap<u64, Restored>)> {
         let settings = &config.settings.settings;
         let room = config.disk_bytes.saturating_sub(out::ROOM + last_list::room(&config.known));
@@ -231,7 +235,7 @@
             policy,
             settings: config.settings.clone(),
             journal,
-            inputs: inputs.clone(),
+            events: events.clone(),
             reports: ReportClient::new(discovery.subscribe()),
             discovery,
             next_number: restored.last_key_value().map_or(1, |(number, _)| number + 1),
@@ -244,30 +248,30 @@
             swept: Instant::now(),
             tally: Tally::default(),
             untried: Untried::default(),
-            figures: Figures::new(&config.settings.class_names),
+            metrics: Metrics::new(&config.settings.class_names),
             taken_out: TakenOut::open(&config.state)?,
             last_list: LastList::open(&config.state, &config.known),
             accepting: false,
             target_ids: HashMap::new(),
-            servers: Vec::new(),
+            endpoints: Vec::new(),
             timers: BTreeSet::new(),
-            stage: watch::Sender::new(Stage::Serving),
-            terminated: None,
+            stage: watch::Sender::new(LifecycleStage::Serving),
+            terminated_at: None,
             lock: None,
             listener: None,
             successor: None,
-            places: Places::new(config.sockets / 2),
-            strain: Strain::default(),
+            connection_limit: ConnectionLimit::new(config.sockets / 2),
+            overload: OverloadMonitor::default(),
             actions: Vec::new(),
         };
         Ok((node, restored))
     }
 
     /// Goes on from what the journal holds.
-    fn restored(config: &Config, inputs: &Inputs, lock: Lock) -> io::Result<Node> {
+    fn restored(config: &Config, events: &EventSender, lock: Lock) -> io::Result<Node> {
         let clock = Clock::new();
         let policy = DeliveryPolicy::new(clock.now(), config.seed, config.settings.settings.clone());
-        let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
+        let (mut node, restored) = Node::new(config, events, clock, policy)?;
         node.lock = Some(lock);
         node.list(config.known.clone(), ListKind::Cached);
         node.untried = Untried::before(node.next_number, clock.now());
@@ -280,9 +284,11 @@
 
 impl Node {
     /// Takes in all that has happened, lets the module decide once, and carries out what it says.
-    fn round(&mut self, batch: &mut Vec<Input>) {
+    fn round(&mut self, batch: &mut Vec<NodeEvent>) {
         let begun = self.clock.now();
-        self.handle(Event::Late { by: (self.strain.lag() + TIMER_STEP).as_micros() as Micros });
+        self.notify_policy(Event::Late {
+            by: (self.overload.event_loop_lag() + TIMER_STEP).as_micros() as Micros,
+        });
         for input in batch.drain(..) {
             self.take_in(input);
         }
@@ -290,7 +296,7 @@
         let now = self.clock.now();
         while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
-            self.handle(Event::Timer { token });
+            self.notify_policy(Event::Timer { token });
         }
         self.policy.decide(self.clock.now(), &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
@@ -299,9 +305,9 @@
         self.answer_clients();
         self.report_notices();
         self.step_down();
-        self.strain.measure_turn();
+        self.overload.measure_turn();
         let took = self.clock.now() - begun;
-        self.strain.note(Duration::from_micros(took));
+        self.overload.record_delay(Duration::from_micros(took));
         self.tally.longest_round = self.tally.longest_round.max(took);
         if self.swept.elapsed() > SWEEP {
             self.swept = Instant::now();
@@ -309,56 +315,56 @@
             let line = self.tally.line(&Standing {
                 untried: self.untried,
                 held: self.messages.len(),
-                waiting: self.messages.values().filter(|h| h.waiting.is_some()).count(),
+                waiting: self.messages.values().filter(|h| h.pending_send.is_some()).count(),
                 calls: self.calls.len(),
                 idle: self.idle.count(),
                 notices: self.notices.len(),
-                lag: self.strain.lag(),
+                lag: self.overload.event_loop_lag(),
             });
             line.into_iter().for_each(|line| eprintln!("{line}"));
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn notify_policy(&mut self, event: Event) {
         self.policy.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn take_in(&mut self, input: NodeEvent) {
         match input {
-            Input::HandIn { message, reply } => self.hand_in(message, reply),
-            Input::Answered { number, written } => self.answered(number, written),
-            Input::TurnedAway { class } => {
+            NodeEvent::Submit { message, reply } => self.hand_in(message, reply),
+            NodeEvent::ResponseEnded { number, written } => self.answered(number, written),
+            NodeEvent::RefusedLate { class } => {
                 self.tally.turned_away += 1;
-                self.figures.ended(class, Ended::Shed);
+                self.metrics.record_result(class, MessageResult::Shed);
             }
-            Input::CallEnded(end) => self.call_ended(end),
-            Input::List(list) => {
+            NodeEvent::CallEnded(end) => self.call_ended(end),
+            NodeEvent::List(list) => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
                 self.last_list.note(&list, |more| self.journal.give_up_room(more));
                 self.list(list, kind);
             }
-            Input::Reported { numbers } => self.reported(numbers),
-            Input::Connected { number, attempt, target, go } => {
+            NodeEvent::NoticesAcknowledged { numbers } => self.reported(numbers),
+            NodeEvent::Connected { number, attempt, target, proceed } => {
                 let may_go = self.policy.may_go(self.clock.now(), number, target);
-                let _ = go.send(may_go && self.begin(number, attempt));
+                let _ = proceed.send(may_go && self.begin(number, attempt));
             }
-            Input::Written { class } => self.figures.tried(class),
+            NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
             // One that nobody awaits any more has been answered no.
-            Input::Admin { reply, .. } if reply.is_closed() => {}
-            Input::Admin { request, reply } => {
+            NodeEvent::Admin { reply, .. } if reply.is_closed() => {}
+            NodeEvent::Admin { request, reply } => {
                 let _ = reply.send(self.admin(request));
             }
-            Input::Discovery(address) => {
+            NodeEvent::DiscoveryAddress(address) => {
                 eprintln!("discovery is at {address} from now on");
                 self.discovery.send_replace(address);
             }
-            Input::Successor(stream) => self.successor = Some(stream),
-            Input::Terminate => {
-                if self.terminated.is_none() {
-                    self.terminated = Some(Instant::now());
-                    self.stage.send_replace(Stage::Draining);
-                    let by = self.clock.now() + END_BY.as_micros() as Micros;
-                    self.handle(Event::Stopping { by });
+            NodeEvent::Successor(stream) => self.successor = Some(stream),
+            NodeEvent::Terminate => {
+                if self.terminated_at.is_none() {
+                    self.terminated_at = Some(Instant::now());
+                    self.stage.send_replace(LifecycleStage::Draining);
+                    let by = self.clock.now() + TERMINATE_TIMEOUT.as_micros() as Micros;
+                    self.notify_policy(Event::Stopping { by });
                 }
             }
         }
@@ -372,13 +378,13 @@
         for line in list.servers {
             let zone = self.settings.zone(&line.zone);
             let known = self.target_ids.get(&line.id).copied();
-            let target = known.unwrap_or(self.servers.len() as TargetId);
-            if let Some(server) = self.servers.get_mut(target as usize) {
+            let target = known.unwrap_or(self.endpoints.len() as TargetId);
+            if let Some(server) = self.endpoints.get_mut(target as usize) {
                 (server.address, server.zone) = (line.addr, zone);
             } else {
-                self.servers.push(Server { address: line.addr, zone, era: 0 });
+                self.endpoints.push(KnownEndpoint { address: line.addr, zone, generation: 0 });
                 if self.taken_out.contains(&line.id) {
-                    self.handle(Event::ByHand { target, out: true });
+                    self.notify_policy(Event::ByHand { target, out: true });
                 }
                 self.target_ids.insert(line.id, target);
             }
@@ -396,19 +402,20 @@
             });
         }
         let version = u32::try_from(list.version).unwrap_or(u32::MAX);
-        self.handle(Event::List { kind, version, endpoints });
+        self.notify_policy(Event::List { kind, version, endpoints });
     }
 
     fn admin(&mut self, request: AdminRequest) -> AdminResponse {
-        let serving = self.accepting && *self.stage.borrow() == Stage::Serving;
+        let serving = self.accepting && *self.stage.borrow() == LifecycleStage::Serving;
         match request {
             AdminRequest::Ready if serving => AdminResponse::new(StatusCode::OK, "ready\n"),
             AdminRequest::Ready => {
                 AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "clients are not taken\n")
             }
-            AdminRequest::Metrics => {
-                AdminResponse::new(StatusCode::OK, self.figures.text(self.messages.len(), self.policy.pool()))
-            }
+            AdminRequest::Metrics => AdminResponse::new(
+                StatusCode::OK,
+                self.metrics.render(self.messages.len(), self.policy.pool()),
+            ),
             AdminRequest::Disable(name) => self.by_hand(&name, true),
             AdminRequest::Enable(name) => self.by_hand(&name, false),
         }
@@ -428,8 +435,8 @@
         let state = if out { "out" } else { "in" };
         if let Some(target) = target.filter(|_| was_out != out) {
             eprintln!("admin: endpoint {name} is {state}");
-            self.servers[target as usize].era += 1;
-            self.handle(Event::ByHand { target, out });
+            self.endpoints[target as usize].generation += 1;
+            self.notify_policy(Event::ByHand { target, out });
         }
         AdminResponse::new(StatusCode::OK, format!("{name} is {state}\n"))
     }
@@ -446,11 +453,11 @@
         let message = Message::of(accepted, &self.settings, &self.clock);
         let class = message.class;
         let (order_key, destination, expires) = (message.order_key(), message.destination, message.expires);
-        let held = Held {
+        let held = HeldMessage {
             message: Arc::new(message),
-            taken: Taken::On,
+            acceptance: Acceptance::Accepted,
             attempts: attempts.len() as u32,
-            waiting: None,
+            pending_send: None,
         };
         self.untried.found(expires, held.attempts);
         self.messages.insert(number, held);
@@ -466,7 +473,7 @@
         };
         let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
         let class = class as u32;
-        self.handle(Event::Restored {
+        self.notify_policy(Event::Restored {
             id: number,
             class,
             destination,
@@ -477,13 +484,13 @@
         });
     }
 
-    fn hand_in(&mut self, message: Arc<Message>, reply: oneshot::Sender<Answer>) {
+    fn hand_in(&mut self, message: Arc<Message>, reply: oneshot::Sender<SubmitResponse>) {
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
         if full || !self.journal.has_room(message.size()) {
             self.tally.refused += 1;
-            self.figures.ended(message.class, Ended::Shed);
+            self.metrics.record_result(message.class, MessageResult::Shed);
             let retry_in_ms = self.policy.advice(message.destination).div_ceil(1000);
-            let _ = reply.send(Answer::Refused { retry_in_ms });
+            let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
             return;
         }
         let id = self.next_number;
@@ -495,26 +502,38 @@
             order_key: message.order_key(),
             expires: message.expires,
         };
-        self.messages.insert(id, Held { message, taken: Taken::Fresh(reply), attempts: 0, waiting: None });
+        self.messages.insert(
+            id,
+            HeldMessage {
+                message,
+                acceptance: Acceptance::Undecided(reply),
+                attempts: 0,
+                pending_send: None,
+            },
+        );
         self.fresh.push(id);
-        self.handle(event);
+        self.notify_policy(event);
     }
 
     /// Takes on what the module has not refused: first the journal, then the answer.
     fn answer_clients(&mut self) {
         for number in std::mem::take(&mut self.fresh) {
             let Some(held) = self.messages.get_mut(&number) else { continue };
-            let Taken::Fresh(reply) = std::mem::replace(&mut held.taken, Taken::Answering) else { continue };
+            let Acceptance::Undecided(reply) =
+                std::mem::replace(&mut held.acceptance, Acceptance::Responding)
+            else {
+                continue;
+            };
             let accepted = Record::Accepted(held.message.accepted(&self.settings, &self.clock));
             if let Err(error) = self.journal.append(number, &accepted) {
                 eprintln!("journal: a message is refused: {error}");
-                let _ = reply.send(Answer::Refused { retry_in_ms: 0 });
+                let _ = reply.send(SubmitResponse::Refused { retry_in_ms: 0 });
                 self.withdraw(number);
                 continue;
             }
-            let receipt = Receipt::new(number, self.inputs.clone());
+            let receipt = ResponseGuard::new(number, self.events.clone());
             // If the client has gone, the receipt is dropped here and says so.
-            let _ = reply.send(Answer::TakenOn(receipt));
+            let _ = reply.send(SubmitResponse::Accepted(receipt));
         }
     }
 
@@ -528,7 +547,7 @@
             return self.withdraw(number);
         }
         let Some(held) = self.messages.get_mut(&number) else { return };
-        held.taken = Taken::On;
+        held.acceptance = Acceptance::Accepted;
         self.tally.taken += 1;
         self.send(number);
     }
@@ -536,19 +555,19 @@
     /// Forgets a message that was not taken on after all.
     fn withdraw(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
-        self.figures.ended(held.message.class, Ended::Shed);
-        if let Some(Waiting { attempt, target, .. }) = held.waiting {
+        self.metrics.record_result(held.message.class, MessageResult::Shed);
+        if let Some(PendingSend { attempt, target, .. }) = held.pending_send {
             self.outcome(number, attempt, target, Outcome::NotSent, true);
         }
-        self.handle(Event::Lapsed { id: number });
+        self.notify_policy(Event::Lapsed { id: number });
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { id, target, until } => {
                 let Some(held) = self.messages.get_mut(&id) else { return };
-                let (attempt, decided) = (held.attempts, self.clock.now());
-                held.waiting = Some(Waiting { attempt, target, until, decided });
+                let (attempt, decided_at) = (held.attempts, self.clock.now());
+                held.pending_send = Some(PendingSend { attempt, target, until, decided_at });
                 held.attempts += 1;
                 self.send(id);
             }
@@ -556,8 +575,8 @@
                 if let Some(out) = self.calls.get_mut(&(id, attempt)) {
                     // A call that has just ended tells its own end.
                     let _ = out.cancel.take().map(|cancel| cancel.send(()));
-                } else if let Some(Waiting { target, .. }) =
-                    self.messages.get_mut(&id).and_then(|h| h.waiting.take())
+                } else if let Some(PendingSend { target, .. }) =
+                    self.messages.get_mut(&id).and_then(|h| h.pending_send.take())
                 {
                     self.outcome(id, attempt, target, Outcome::NotSent, false);
                 }
@@ -577,16 +596,20 @@
     /// Starts the call that the module has decided on, unless it has to wait: for the client to be told that the
     /// message is taken on, or for the notice that ends an earlier message of its key, which is over only then.
     fn send(&mut self, number: u64) {
-        let Some(held) = self.messages.get_mut(&number).filter(|h| matches!(h.taken, Taken::On)) else {
+        let Some(held) =
+            self.messages.get_mut(&number).filter(|h| matches!(h.acceptance, Acceptance::Accepted))
+        else {
             return;
         };
         let key = held.message.order_key();
         if key != 0 && self.notices.values().any(|ending| ending.order_key == key) {
             return;
         }
-        let Some(Waiting { attempt, target, until, decided }) = held.waiting.take() else { return };
+        let Some(PendingSend { attempt, target, until, decided_at }) = held.pending_send.take() else {
+            return;
+        };
         // What was decided long ago may go against a drain or a wait told since: the module decides anew.
-        if self.clock.now() > decided + STALE_SEND {
+        if self.clock.now() > decided_at + STALE_SEND {
             return self.outcome(number, attempt, target, Outcome::NotSent, false);
         }
         self.start(number, attempt, target, until);
@@ -599,10 +622,10 @@
             return;
         }
         let now = self.clock.now();
-        let late = |held: &mut Held| held.waiting.take_if(|w| w.until <= now);
+        let late = |held: &mut HeldMessage| held.pending_send.take_if(|w| w.until <= now);
         let all = self.messages.iter_mut();
         let expired: Vec<_> = all.filter_map(|(number, held)| Some((*number, late(held)?))).collect();
-        for (number, Waiting { attempt, target, .. }) in expired {
+        for (number, PendingSend { attempt, target, .. }) in expired {
             self.outcome(number, attempt, target, Outcome::NotSent, false);
         }
     }
@@ -610,22 +633,22 @@
     /// Notes in the journal, before its first byte goes out, that a call may run from now on.
     fn begin(&mut self, number: u64, attempt: u32) -> bool {
         let Some(out) = self.calls.get_mut(&(number, attempt)) else { return false };
-        let zone = self.servers[out.target as usize].zone;
+        let zone = self.endpoints[out.target as usize].zone;
         let begun = Record::Begun { at: self.clock.unix(self.clock.now()), zone };
         match self.journal.append(number, &begun) {
-            Ok(()) => out.begun = true,
+            Ok(()) => out.started = true,
             Err(error) => eprintln!("journal: a call is not made: {error}"),
         }
-        out.begun
+        out.started
     }
 
     /// Starts a call. Where its connection has to come up yet, it begins only then.
     fn start(&mut self, number: u64, attempt: u32, target: TargetId, until: Micros) {
         let Some(held) = self.messages.get(&number) else { return };
         let message = held.message.clone();
-        let Server { address, era, .. } = self.servers[target as usize];
+        let KnownEndpoint { address, generation, .. } = self.endpoints[target as usize];
         let (cancel, cancelled) = oneshot::channel();
-        self.calls.insert((number, attempt), Out { target, cancel: Some(cancel), begun: false });
+        self.calls.insert((number, attempt), InFlightCall { target, cancel: Some(cancel), started: false });
         let connection = self.idle.take(target);
         if connection.is_some() && !self.begin(number, attempt) {
             self.calls.remove(&(number, attempt));
@@ -642,28 +665,40 @@
             until: self.clock.instant(until),
             connection,
             reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
-            era,
+            era: generation,
         };
-        tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
+        tokio::spawn(targets::call(call, cancelled, self.events.clone()));
     }
 
     fn outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
-        self.handle(Event::Outcome { id, attempt, target, outcome, took: 0, ended, wait: 0, report: None });
+        self.notify_policy(Event::Outcome {
+            id,
+            attempt,
+            target,
+            outcome,
+            took: 0,
+            ended,
+            wait: 0,
+            report: None,
+        });
     }
 
     fn call_ended(&mut self, end: CallEnd) {
-        let begun = self.calls.remove(&(end.number, end.attempt)).is_some_and(|out| out.begun);
-        self.tally.ended(end.outcome, end.begun.elapsed(), end.idle_for);
-        self.tally.cut_short += u32::from(end.cut_short);
-        let same_era = self.servers[end.target as usize].era == end.era;
+        let begun = self.calls.remove(&(end.number, end.attempt)).is_some_and(|out| out.started);
+        self.tally.ended(end.outcome, end.started_at.elapsed(), end.idle_for);
+        self.tally.cut_short += u32::from(end.response_truncated);
+        let same_era = self.endpoints[end.target as usize].generation == end.generation;
         if let Some(connection) = end.connection.filter(|_| same_era) {
             self.idle.put(end.target, connection);
         }
         let held = self.messages.contains_key(&end.number);
-        if end.over {
+        if end.completes_message {
             if let Some(held) = self.messages.remove(&end.number) {
                 let delivered = end.outcome == Outcome::Ok;
-                self.figures.ended(held.message.class, if delivered { Ended::Ok } else { Ended::Error });
+                self.metrics.record_result(
+                    held.message.class,
+                    if delivered { MessageResult::Ok } else { MessageResult::Error },
+                );
                 self.record(end.number, &Record::Over);
             }
         } else if held && begun {
@@ -671,16 +706,16 @@
             self.record(end.number, &Record::Ended(fate));
         }
         let now = self.clock.now();
-        self.handle(Event::Outcome {
+        self.notify_policy(Event::Outcome {
             id: end.number,
             attempt: end.attempt,
             target: end.target,
             outcome: end.outcome,
-            took: now.saturating_sub(self.clock.micros(end.begun)),
-            ended: end.over || !held,
+            took: now.saturating_sub(self.clock.micros(end.started_at)),
+            ended: end.completes_message || !held,
             // A wait runs from the answer's arrival, not from now.
             wait: end.wait_until.map_or(0, |until| self.clock.micros(until).saturating_sub(now)),
-            report: end.report,
+            report: end.limit_report,
         });
     }
 
@@ -695,15 +730,16 @@
     fn end(&mut self, number: u64, notice: Notice) {
         let Some(held) = self.messages.remove(&number) else { return };
         let class = held.message.class;
-        if let Taken::Fresh(reply) = held.taken {
-            self.figures.ended(class, Ended::Shed);
+        if let Acceptance::Undecided(reply) = held.acceptance {
+            self.metrics.record_result(class, MessageResult::Shed);
             let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             self.tally.refused += 1;
-            let _ = reply.send(Answer::Refused { retry_in_ms });
+            let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
             return;
         }
-        let ended = if matches!(notice, Notice::GivenUp) { Ended::Error } else { Ended::Shed };
-        self.figures.ended(class, ended);
+        let ended =
+            if matches!(notice, Notice::GivenUp) { MessageResult::Error } else { MessageResult::Shed };
+        self.metrics.record_result(class, ended);
         self.untried.ended(number, held.message.expires, held.attempts);
         let left = held.message.expires as i64 - self.clock.now() as i64;
         let line = self.tally.undelivered(&held.message.id, notice, held.attempts, left);
@@ -739,7 +775,7 @@
         for number in numbers {
             self.record(number, &Record::Over);
             let key = self.notices.remove(&number).map_or(0, |ended| ended.order_key);
-            let next = |h: &Held| key != 0 && h.waiting.is_some() && h.message.order_key() == key;
+            let next = |h: &HeldMessage| key != 0 && h.pending_send.is_some() && h.message.order_key() == key;
             let waiting = self.messages.iter().find(|(_, h)| next(h)).map(|(number, _)| *number);
             waiting.into_iter().for_each(|next| self.send(next));
         }
@@ -747,9 +783,9 @@
 
     /// The steps to the end of a process that was told to end.
     fn step_down(&mut self) {
-        let closing = self.terminated.is_some_and(|at| at.elapsed() >= ACCEPT_ON);
-        if closing && *self.stage.borrow() == Stage::Draining {
-            self.stage.send_replace(Stage::Closing);
+        let closing = self.terminated_at.is_some_and(|at| at.elapsed() >= ACCEPT_AFTER_TERMINATE);
+        if closing && *self.stage.borrow() == LifecycleStage::Draining {
+            self.stage.send_replace(LifecycleStage::Closing);
             // Else it would take connections that nobody accepts.
             self.listener = None;
         }
@@ -758,16 +794,17 @@
     /// Whether the process may end: nothing is left to do, also for clients whose connections are open or have come to a
     /// listener that accepts no more.
     fn has_ended(&self, accepted: bool) -> bool {
-        let Some(at) = self.terminated else { return false };
+        let Some(at) = self.terminated_at else { return false };
         let idle = self.calls.is_empty() && self.messages.is_empty() && self.notices.is_empty();
-        let idle = idle && accepted && self.places.taken() == 0;
-        at.elapsed() >= END_BY || idle && at.elapsed() >= 2 * ACCEPT_ON
+        let idle = idle && accepted && self.connection_limit.in_use() == 0;
+        at.elapsed() >= TERMINATE_TIMEOUT || idle && at.elapsed() >= 2 * ACCEPT_AFTER_TERMINATE
     }
 
     fn wake_at(&self) -> Instant {
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
-        let stop = self.terminated.map(|at| {
-            let steps = [at + ACCEPT_ON, at + 2 * ACCEPT_ON, at + END_BY];
+        let stop = self.terminated_at.map(|at| {
+            let steps =
+                [at + ACCEPT_AFTER_TERMINATE, at + 2 * ACCEPT_AFTER_TERMINATE, at + TERMINATE_TIMEOUT];
             steps.into_iter().find(|s| *s > Instant::now()).unwrap_or(at)
         });
         [timer, stop].into_iter().flatten().min().unwrap_or_else(|| Instant::now() + SWEEP)
--- a/src/bin/foldtrack/node/succession.rs
+++ b/src/bin/foldtrack/node/succession.rs
@@ -1,9 +1,12 @@
 //! The node's part of an upgrade: what it passes on as the owner, and how it goes on where another one stopped.
 
-use super::{Held, Node, Out, Server, Stage, Taken, Waiting, ACCEPT_ON, END_BY};
+use super::{
+    Acceptance, HeldMessage, InFlightCall, KnownEndpoint, LifecycleStage, Node, PendingSend,
+    ACCEPT_AFTER_TERMINATE, TERMINATE_TIMEOUT,
+};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::events::Inputs;
+use crate::events::EventSender;
 use crate::journal::Restored;
 use crate::message::Message;
 use crate::relay::{LeftCall, Predecessor, Remainder};
@@ -19,7 +22,7 @@
 impl Node {
     /// Goes on where another process stops; with an error that one goes on.
     pub(super) fn succeeding(
-        config: &Config, inputs: &Inputs, offer: Offer,
+        config: &Config, inputs: &EventSender, offer: Offer,
     ) -> io::Result<(Node, StdListener)> {
         let settings = config.settings.settings.clone();
         let policy = DeliveryPolicy::take_over(&offer.estate.policy, settings).map_err(io::Error::other)?;
@@ -27,7 +30,7 @@
         let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
         let (estate, lock, listener, stream) = offer.accept()?;
         node.lock = Some(lock);
-        let reserved = node.places.reserve(estate.clients);
+        let reserved = node.connection_limit.reserve(estate.clients);
         let (calls, answering) = node.inherit(estate, restored);
         let (inputs, settings) = (inputs.clone(), config.settings.clone());
         let predecessor = Predecessor { inputs, settings, calls, answering, reserved, clock };
@@ -47,22 +50,27 @@
         self.next_number = self.next_number.max(estate.next_number);
         self.timers = estate.timers.into_iter().collect();
         for (name, address, zone, era) in estate.servers {
-            self.target_ids.insert(name, self.servers.len() as TargetId);
-            self.servers.push(Server { address, zone, era });
+            self.target_ids.insert(name, self.endpoints.len() as TargetId);
+            self.endpoints.push(KnownEndpoint { address, zone, generation: era });
         }
         let mut answering = BTreeSet::new();
         for HeldState { number, attempts, told, waiting } in estate.messages {
             let Some(known) = restored.remove(&number) else {
                 // Lost to the journal by an error that was logged: nothing can be sent of it.
-                self.handle(Event::Lapsed { id: number });
+                self.notify_policy(Event::Lapsed { id: number });
                 continue;
             };
             let message = Arc::new(Message::of(known.accepted, &self.settings, &self.clock));
-            let taken = if told { Taken::On } else { Taken::Answering };
+            let acceptance = if told { Acceptance::Accepted } else { Acceptance::Responding };
             answering.extend((!told).then_some(number));
-            let waiting =
-                waiting.map(|(attempt, target, until, decided)| Waiting { attempt, target, until, decided });
-            self.messages.insert(number, Held { message, taken, attempts, waiting });
+            let waiting = waiting.map(|(attempt, target, until, decided)| PendingSend {
+                attempt,
+                target,
+                until,
+                decided_at: decided,
+            });
+            self.messages
+                .insert(number, HeldMessage { message, acceptance, attempts, pending_send: waiting });
         }
         // What is left has ended, and its notice is to be taken yet.
         for (number, message) in restored {
@@ -70,7 +78,8 @@
         }
         let left = |(number, attempt, target, begun): (u64, u32, TargetId, bool)| {
             let (cancel, cancelled) = oneshot::channel();
-            self.calls.insert((number, attempt), Out { target, cancel: Some(cancel), begun });
+            self.calls
+                .insert((number, attempt), InFlightCall { target, cancel: Some(cancel), started: begun });
             (number, attempt, target, cancelled)
         };
         (estate.calls.into_iter().map(left).collect(), answering)
@@ -78,18 +87,18 @@
 
     /// Hands all to a successor. With an error it is still the owner.
     pub(super) fn hand_over(&self, successor: &UnixStream) -> io::Result<()> {
-        let (None, Some(listener), Some(lock)) = (self.terminated, &self.listener, &self.lock) else {
+        let (None, Some(listener), Some(lock)) = (self.terminated_at, &self.listener, &self.lock) else {
             return Err(io::Error::other("this process is about to end"));
         };
         let now = self.clock.now();
-        let held = |(number, held): (&u64, &Held)| HeldState {
+        let held = |(number, held): (&u64, &HeldMessage)| HeldState {
             number: *number,
             attempts: held.attempts,
-            told: matches!(held.taken, Taken::On),
-            waiting: held.waiting.as_ref().map(|w| (w.attempt, w.target, w.until, w.decided)),
+            told: matches!(held.acceptance, Acceptance::Accepted),
+            waiting: held.pending_send.as_ref().map(|w| (w.attempt, w.target, w.until, w.decided_at)),
         };
         let named = |(name, target): (&String, &TargetId)| {
-            let Server { address, zone, era } = self.servers[*target as usize];
+            let KnownEndpoint { address, zone, generation: era } = self.endpoints[*target as usize];
             (*target, (name.clone(), address, zone, era))
         };
         let servers: BTreeMap<_, _> = self.target_ids.iter().map(named).collect();
@@ -102,29 +111,29 @@
             calls: self
                 .calls
                 .iter()
-                .map(|((number, attempt), out)| (*number, *attempt, out.target, out.begun))
+                .map(|((number, attempt), out)| (*number, *attempt, out.target, out.started))
                 .collect(),
             servers: servers.into_values().collect(),
             timers: self.timers.iter().copied().collect(),
-            clients: self.places.taken(),
+            clients: self.connection_limit.in_use(),
         };
         upgrade::offer(successor, &estate, listener, lock)
     }
 
     /// What is left for this process to do once it has handed over; the lock and the log are the successor's.
     pub(super) fn into_remainder(self) -> Remainder {
-        self.stage.send_replace(Stage::Succeeded);
+        self.stage.send_replace(LifecycleStage::HandedOver);
         Remainder {
             calls: self.calls.into_iter().map(|(call, out)| (call, out.cancel)).collect(),
-            figures: self.figures,
+            figures: self.metrics,
             pool: self.policy.pool(),
-            inputs: self.inputs,
+            inputs: self.events,
             settings: self.settings,
             clock: self.clock,
             stage: self.stage,
-            places: self.places,
-            accept_on: ACCEPT_ON,
-            end_by: END_BY,
+            places: self.connection_limit,
+            accept_on: ACCEPT_AFTER_TERMINATE,
+            end_by: TERMINATE_TIMEOUT,
         }
     }
 }
--- a/src/bin/foldtrack/strain.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -49,22 +49,22 @@
 
 /// Shared by the loop, which notes how late it comes, and those who do less then.
 #[derive(Clone, Default)]
-pub(crate) struct Strain(Arc<Mutex<State>>);
+pub(crate) struct OverloadMonitor(Arc<Mutex<State>>);
 
-impl Strain {
+impl OverloadMonitor {
     fn state(&self) -> MutexGuard<'_, State> {
         // What a panic elsewhere leaves half done is some late turn forgotten.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A turn came, or took, so much longer than it should have.
-    pub fn note(&self, late: Duration) {
+    pub fn record_delay(&self, late: Duration) {
         if late > LATE {
             self.state().until = Some(Instant::now() + HOLDS);
         }
     }
 
-    pub fn is_on(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.state().until.is_some_and(|until| Instant::now() < until)
     }
 
@@ -95,18 +95,18 @@
             state.weigh(took);
             took
         };
-        self.note(took);
+        self.record_delay(took);
     }
 
     /// How long turns have taken of late.
-    pub fn mean_turn(&self) -> Duration {
+    pub fn mean_turn_time(&self) -> Duration {
         let mut state = self.state();
         state.weigh(Duration::ZERO);
         Duration::from_secs_f64(state.mean_turn)
     }
 
     /// The longest turn of the last one or two [`HOLDS`]: what is decided now may be carried out so late.
-    pub fn lag(&self) -> Duration {
+    pub fn event_loop_lag(&self) -> Duration {
         let mut state = self.state();
         state.rotate();
         state.longest.max(state.longest_before)
@@ -114,10 +114,10 @@
 }
 
 #[cfg(test)]
-impl Strain {
+impl OverloadMonitor {
     /// Strain for as long as a test runs.
-    pub fn lasting() -> Strain {
-        let strain = Strain::default();
+    pub fn lasting() -> OverloadMonitor {
+        let strain = OverloadMonitor::default();
         strain.state().until = Some(Instant::now() + Duration::from_secs(3600));
         strain
     }
@@ -129,48 +129,48 @@
 
     #[tokio::test(start_paused = true)]
     async fn a_late_turn_counts_for_a_while_and_one_in_time_does_not() {
-        let strain = Strain::default();
-        strain.note(LATE);
-        assert!(!strain.is_on());
-        strain.note(LATE + Duration::from_millis(1));
-        strain.note(Duration::ZERO);
+        let strain = OverloadMonitor::default();
+        strain.record_delay(LATE);
+        assert!(!strain.is_overloaded());
+        strain.record_delay(LATE + Duration::from_millis(1));
+        strain.record_delay(Duration::ZERO);
         tokio::time::advance(HOLDS / 2).await;
-        assert!(strain.is_on());
+        assert!(strain.is_overloaded());
         tokio::time::advance(HOLDS).await;
-        assert!(!strain.is_on());
+        assert!(!strain.is_overloaded());
     }
 
     #[tokio::test(start_paused = true)]
     async fn the_lag_is_the_longest_turn_of_late() {
-        let strain = Strain::default();
+        let strain = OverloadMonitor::default();
         for took in [30, 90, 10] {
             strain.state().turn = Some(Instant::now());
             tokio::time::advance(Duration::from_millis(took)).await;
             strain.turn_ended();
         }
-        assert_eq!(strain.lag(), Duration::from_millis(90));
+        assert_eq!(strain.event_loop_lag(), Duration::from_millis(90));
         tokio::time::advance(HOLDS).await;
-        assert_eq!(strain.lag(), Duration::from_millis(90));
+        assert_eq!(strain.event_loop_lag(), Duration::from_millis(90));
         tokio::time::advance(2 * HOLDS).await;
-        assert_eq!(strain.lag(), Duration::ZERO);
+        assert_eq!(strain.event_loop_lag(), Duration::ZERO);
     }
 
     /// One late turn is soon forgotten, many are not.
     #[tokio::test(start_paused = true)]
     async fn the_mean_turn_is_that_of_about_the_last_second() {
-        let strain = Strain::default();
+        let strain = OverloadMonitor::default();
         let late = Duration::from_millis(90);
         tokio::time::advance(late).await;
         strain.state().weigh(late);
-        let one = strain.mean_turn();
+        let one = strain.mean_turn_time();
         assert!(one < Duration::from_millis(10), "{one:?}");
         for _ in 0..50 {
             tokio::time::advance(late).await;
             strain.state().weigh(late);
         }
-        let many = strain.mean_turn();
+        let many = strain.mean_turn_time();
         assert!(many > Duration::from_millis(80), "{many:?}");
         tokio::time::advance(3 * HOLDS).await;
-        assert!(strain.mean_turn() < many / 10);
+        assert!(strain.mean_turn_time() < many / 10);
     }
 }
--- a/src/bin/foldtrack/relay.rs
+++ b/src/bin/foldtrack/relay.rs
@@ -1,11 +1,14 @@
 //! What a new version and the old process tell each other from the takeover until the old one has ended.
 
 use crate::clock::Clock;
-use crate::events::{AdminRequest, AdminResponse, Answer, CallEnd, Input, Inputs, Receipt, Stage};
-use crate::figures::{Ended, Figures};
+use crate::connection_limit::ConnectionLimit;
+use crate::events::{
+    AdminRequest, AdminResponse, CallEnd, EventSender, LifecycleStage, NodeEvent, ResponseGuard,
+    SubmitResponse,
+};
 use crate::journal::Accepted;
 use crate::message::Message;
-use crate::places::Places;
+use crate::metrics::{MessageResult, Metrics};
 use crate::upgrade::{frame, length_of};
 use hatchline::settings::Parsed;
 use hatchline::{LimitReport, Outcome, Pool, TargetId};
@@ -74,7 +77,7 @@
 
 /// What keeps the owner in touch with the process that it took over from.
 pub(crate) struct Predecessor {
-    pub inputs: Inputs,
+    pub inputs: EventSender,
     pub settings: Arc<Parsed>,
     pub calls: Vec<LeftCall>,
     /// Messages whose clients it is telling that they are taken on.
@@ -87,7 +90,7 @@
 /// What the owner's parts want the old process told.
 enum Word {
     Cancel { number: u64, attempt: u32 },
-    Answer { name: u64, answer: Answer },
+    Answer { name: u64, answer: SubmitResponse },
 }
 
 impl Predecessor {
@@ -108,7 +111,7 @@
                 }
             });
         }
-        let mut receipts: BTreeMap<u64, Receipt> = BTreeMap::new();
+        let mut receipts: BTreeMap<u64, ResponseGuard> = BTreeMap::new();
         let (frames, mut heard) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok(frame) = next_frame::<FromOld>(&mut reader).await {
@@ -123,12 +126,12 @@
                 Some(word) = said.recv() => {
                     let frame = match word {
                         Word::Cancel { number, attempt } => FromOwner::Cancel { number, attempt },
-                        Word::Answer { name, answer: Answer::TakenOn(receipt) } => {
+                        Word::Answer { name, answer: SubmitResponse::Accepted(receipt) } => {
                             let number = receipt.number();
                             receipts.insert(number, receipt);
                             FromOwner::TakenOn { name, number }
                         }
-                        Word::Answer { name, answer: Answer::Refused { retry_in_ms } } =>
+                        Word::Answer { name, answer: SubmitResponse::Refused { retry_in_ms } } =>
                             FromOwner::Refused { name, retry_in_ms },
                     };
                     // If it has ended, so has its side of the stream.
@@ -140,11 +143,11 @@
                     }) => {
                         open.remove(&(number, attempt));
                         let now = Instant::now();
-                        inputs.send(Input::CallEnded(CallEnd {
-                            begun: now.checked_sub(took).unwrap_or(now),
+                        inputs.send(NodeEvent::CallEnded(CallEnd {
+                            started_at: now.checked_sub(took).unwrap_or(now),
                             wait_until: wait.and_then(|wait| now.checked_add(wait)),
                             idle_for,
-                            report,
+                            limit_report: report,
                             ..CallEnd::new(number, attempt, target, outcome, over)
                         }));
                     }
@@ -152,13 +155,13 @@
                         Some(mut receipt) => receipt.written = written,
                         None => {
                             answering.remove(&number);
-                            inputs.send(Input::Answered { number, written });
+                            inputs.send(NodeEvent::ResponseEnded { number, written });
                         }
                     },
                     Some(FromOld::HandIn { name, accepted }) => {
                         let message = Message::of(accepted, &settings, &clock);
                         let (reply, answer) = oneshot::channel();
-                        inputs.send(Input::HandIn { message: Arc::new(message), reply });
+                        inputs.send(NodeEvent::Submit { message: Arc::new(message), reply });
                         let words = words.clone();
                         tokio::spawn(async move {
                             if let Ok(answer) = answer.await {
@@ -171,10 +174,12 @@
             }
         }
         for ((number, attempt), target) in open {
-            inputs.send(Input::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
+            inputs.send(NodeEvent::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
         }
         receipts.into_values().for_each(|mut receipt| receipt.written = true);
-        answering.into_iter().for_each(|number| inputs.send(Input::Answered { number, written: true }));
+        answering
+            .into_iter()
+            .for_each(|number| inputs.send(NodeEvent::ResponseEnded { number, written: true }));
         drop(reserved);
         eprintln!("upgrade: the old process has ended");
         Ok(())
@@ -189,13 +194,13 @@
 pub(crate) struct Remainder {
     /// What calls each off, unless it has been.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
-    pub figures: Figures,
+    pub figures: Metrics,
     pub pool: Pool,
-    pub inputs: Inputs,
+    pub inputs: EventSender,
     pub settings: Arc<Parsed>,
     pub clock: Clock,
-    pub stage: watch::Sender<Stage>,
-    pub places: Places,
+    pub stage: watch::Sender<LifecycleStage>,
+    pub places: ConnectionLimit,
     /// After the signal to end: when idle connections close, and by when the process has ended.
     pub accept_on: Duration,
     pub end_by: Duration,
@@ -212,7 +217,7 @@
 impl Remainder {
     /// Serves the successor until nothing is left to do.
     pub async fn serve(
-        mut self, stream: UnixStream, mut receiver: UnboundedReceiver<Input>,
+        mut self, stream: UnixStream, mut receiver: UnboundedReceiver<NodeEvent>,
     ) -> io::Result<Rest> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
@@ -232,21 +237,21 @@
                 }
             }
         });
-        let mut replies: BTreeMap<u64, oneshot::Sender<Answer>> = BTreeMap::new();
+        let mut replies: BTreeMap<u64, oneshot::Sender<SubmitResponse>> = BTreeMap::new();
         let mut calls = std::mem::take(&mut self.calls);
         let (mut next_name, mut terminated, mut look) = (0, None, Instant::now() + LOOK);
         let rest = loop {
             tokio::select! {
                 biased;
                 Some(input) = receiver.recv() => match input {
-                    Input::HandIn { message, reply } => {
+                    NodeEvent::Submit { message, reply } => {
                         next_name += 1;
                         replies.insert(next_name, reply);
                         let accepted = message.accepted(&self.settings, &self.clock);
                         let _ = tell.send(FromOld::HandIn { name: next_name, accepted });
                     }
-                    Input::Terminate => terminated = terminated.or(Some(Instant::now())),
-                    Input::CallEnded(end) => {
+                    NodeEvent::Terminate => terminated = terminated.or(Some(Instant::now())),
+                    NodeEvent::CallEnded(end) => {
                         calls.remove(&(end.number, end.attempt));
                         let _ = tell.send(ended(end));
                     }
@@ -260,11 +265,11 @@
                     }
                     Some(FromOwner::TakenOn { name, number }) => {
                         // If the client has gone, the receipt is dropped here and says so.
-                        let answer = Answer::TakenOn(Receipt::new(number, self.inputs.clone()));
+                        let answer = SubmitResponse::Accepted(ResponseGuard::new(number, self.inputs.clone()));
                         let _ = replies.remove(&name).map(|reply| reply.send(answer));
                     }
                     Some(FromOwner::Refused { name, retry_in_ms }) => {
-                        let answer = Answer::Refused { retry_in_ms };
+                        let answer = SubmitResponse::Refused { retry_in_ms };
                         let _ = replies.remove(&name).map(|reply| reply.send(answer));
                     }
                     None if terminated.is_some() => break Rest::Done,
@@ -272,13 +277,13 @@
                 },
                 () = sleep_until(look) => {
                     look = Instant::now() + LOOK;
-                    let left = !(calls.is_empty() && replies.is_empty() && self.places.taken() == 0);
+                    let left = !(calls.is_empty() && replies.is_empty() && self.places.in_use() == 0);
                     let since = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
                     if !left || since >= self.end_by {
                         break Rest::Done;
                     }
                     if since >= self.accept_on {
-                        self.stage.send_replace(Stage::Closing);
+                        self.stage.send_replace(LifecycleStage::Closing);
                     }
                 }
             }
@@ -288,18 +293,18 @@
         Ok(rest)
     }
 
-    fn pass_on(&mut self, input: Input, tell: &UnboundedSender<FromOld>) {
+    fn pass_on(&mut self, input: NodeEvent, tell: &UnboundedSender<FromOld>) {
         // If the successor has ended, that shows where its words are awaited.
         match input {
-            Input::Answered { number, written } => {
+            NodeEvent::ResponseEnded { number, written } => {
                 let _ = tell.send(FromOld::Answered { number, written });
             }
-            Input::Written { class } => self.figures.tried(class),
-            Input::TurnedAway { class } => self.figures.ended(class, Ended::Shed),
-            Input::Admin { request, reply } => {
+            NodeEvent::MessageWritten { class } => self.figures.record_attempt(class),
+            NodeEvent::RefusedLate { class } => self.figures.record_result(class, MessageResult::Shed),
+            NodeEvent::Admin { request, reply } => {
                 let _ = reply.send(match request {
                     AdminRequest::Metrics => {
-                        AdminResponse::new(StatusCode::OK, self.figures.text(0, self.pool))
+                        AdminResponse::new(StatusCode::OK, self.figures.render(0, self.pool))
                     }
                     _ => {
                         AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "a new version has taken over\n")
@@ -319,11 +324,11 @@
         attempt: end.attempt,
         target: end.target,
         outcome: end.outcome,
-        over: end.over,
-        took: end.begun.elapsed(),
+        over: end.completes_message,
+        took: end.started_at.elapsed(),
         idle_for: end.idle_for,
         wait: end.wait_until.map(|until| until.saturating_duration_since(Instant::now())),
-        report: end.report,
+        report: end.limit_report,
     }
 }
 
@@ -341,18 +346,18 @@
         let settings: Arc<Parsed> = Arc::new(serde_json::from_value(settings).unwrap());
         let mut old = Remainder {
             calls: BTreeMap::new(),
-            figures: Figures::new(&settings.class_names),
+            figures: Metrics::new(&settings.class_names),
             pool: Pool::default(),
             inputs: events::channel().0,
             settings,
             clock: Clock::new(),
-            stage: watch::Sender::new(Stage::Succeeded),
-            places: Places::new(1),
+            stage: watch::Sender::new(LifecycleStage::HandedOver),
+            places: ConnectionLimit::new(1),
             accept_on: Duration::ZERO,
             end_by: Duration::ZERO,
         };
-        old.pass_on(Input::TurnedAway { class: 0 }, &mpsc::unbounded_channel().0);
-        let text = old.figures.text(0, old.pool);
+        old.pass_on(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
+        let text = old.figures.render(0, old.pool);
         assert!(text.contains("responses.note.shed=1"), "{text}");
     }
 }
--- a/src/bin/foldtrack/streams.rs
+++ b/src/bin/foldtrack/streams.rs
@@ -13,34 +13,34 @@
 const LINGER: Duration = Duration::from_millis(200);
 const LINGER_BYTES: usize = 256 * 1024;
 
-/// Hears what passes through a [`Tapped`] stream. The HTTP library flushes a stream once it has written what it holds.
-pub(crate) trait Tap<S> {
+/// Hears what passes through a [`ObservedStream`] stream. The HTTP library flushes a stream once it has written what it holds.
+pub(crate) trait StreamObserver<S> {
     /// Whether the stream may be read now.
-    fn admit(&mut self, _stream: &S, _cx: &mut Context) -> Poll<io::Result<()>> {
+    fn poll_read_allowed(&mut self, _stream: &S, _cx: &mut Context) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
-    fn read(&mut self, _bytes: &[u8]) {}
-    fn flushed(&mut self, _stream: &S, _cx: &mut Context) {}
+    fn on_read(&mut self, _bytes: &[u8]) {}
+    fn on_flush(&mut self, _stream: &S, _cx: &mut Context) {}
 }
 
 /// A stream that is listened in on.
-pub(crate) struct Tapped<S, T> {
+pub(crate) struct ObservedStream<S, T> {
     pub stream: S,
-    pub tap: T,
+    pub observer: T,
 }
 
-impl<S: AsyncRead + Unpin, T: Tap<S> + Unpin> AsyncRead for Tapped<S, T> {
+impl<S: AsyncRead + Unpin, T: StreamObserver<S> + Unpin> AsyncRead for ObservedStream<S, T> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.tap.admit(&this.stream, cx))?;
+        ready!(this.observer.poll_read_allowed(&this.stream, cx))?;
         let before = buf.filled().len();
         ready!(Pin::new(&mut this.stream).poll_read(cx, buf))?;
-        this.tap.read(&buf.filled()[before..]);
+        this.observer.on_read(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin, T: Tap<S> + Unpin> AsyncWrite for Tapped<S, T> {
+impl<S: AsyncWrite + Unpin, T: StreamObserver<S> + Unpin> AsyncWrite for ObservedStream<S, T> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -58,7 +58,7 @@
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(Pin::new(&mut this.stream).poll_flush(cx))?;
-        this.tap.flushed(&this.stream, cx);
+        this.observer.on_flush(&this.stream, cx);
         Poll::Ready(Ok(()))
     }
 
@@ -68,7 +68,7 @@
 }
 
 /// Closes a connection without taking back what was last written to it.
-pub(crate) async fn close(mut stream: impl AsyncRead + AsyncWrite + Unpin) {
+pub(crate) async fn lingering_close(mut stream: impl AsyncRead + AsyncWrite + Unpin) {
     if stream.shutdown().await.is_err() {
         return;
     }
--- a/src/bin/foldtrack/targets.rs
+++ b/src/bin/foldtrack/targets.rs
@@ -1,7 +1,7 @@
 //! Calls to targets: one call and its outcome, and the connections that stand idle between calls.
 
 use crate::connection::{Connection, Failure, FirstLine, Payload};
-use crate::events::{CallEnd, Input, Inputs};
+use crate::events::{CallEnd, EventSender, NodeEvent};
 use crate::message::Message;
 use hatchline::{LimitReport, Outcome, TargetId};
 use hyper::body::Incoming;
@@ -87,9 +87,9 @@
 }
 
 /// Makes one call and tells its end: exactly once, and never tries again by itself.
-pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
+pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: EventSender) {
     let end = CallEnd::new(call.number, call.attempt, call.target, Outcome::ConnectFailed, false);
-    let mut end = CallEnd { era: call.era, ..end };
+    let mut end = CallEnd { generation: call.era, ..end };
     let Call { message, connection: idle, until, dial_timeout, address, reports, .. } = call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
     let (reused, written) = (idle.is_some(), inputs.clone());
@@ -100,14 +100,14 @@
         let mut connection = match idle {
             Some((_, connection)) => connection,
             None => {
-                let tell = move |class| written.send(Input::Written { class });
+                let tell = move |class| written.send(NodeEvent::MessageWritten { class });
                 let Ok(Ok(connection)) = timeout(dial_timeout, Connection::open(address, tell)).await else {
                     return Err(Outcome::ConnectFailed);
                 };
                 // A lost packet makes this late by a second: what was told meanwhile holds for this call too.
                 let (go, may_go) = oneshot::channel();
                 let (number, attempt, target) = (call.number, call.attempt, call.target);
-                inputs.send(Input::Connected { number, attempt, target, go });
+                inputs.send(NodeEvent::Connected { number, attempt, target, proceed: go });
                 if !may_go.await.unwrap_or(false) {
                     unused = Some(connection);
                     return Err(Outcome::NotSent);
@@ -140,18 +140,18 @@
             }
             let rest = timeout(REST_WAIT, connection.finish(response.into_body(), REST_BYTES)).await;
             end.connection = matches!(rest, Ok(Some(_))).then_some(connection);
-            end.cut_short = end.connection.is_none() && end.outcome != Outcome::TooManyConnections;
+            end.response_truncated = end.connection.is_none() && end.outcome != Outcome::TooManyConnections;
         }
         // The rest of the answer cannot be read, or does not come.
         Err(_) if handed_over.as_ref().is_some_and(FirstLine::says_delivered) => {
-            (end.outcome, end.over, end.cut_short) = (Outcome::Ok, true, true);
+            (end.outcome, end.completes_message, end.response_truncated) = (Outcome::Ok, true, true);
         }
         Err(Some(Outcome::Cancelled)) if handed_over.is_none() => end.outcome = Outcome::NotSent,
         Err(None) if handed_over.is_none() => end.outcome = Outcome::ConnectFailed,
         Err(None) => end.outcome = Outcome::TimedOut,
         Err(Some(outcome)) => (end.outcome, end.connection) = (outcome, unused),
     }
-    inputs.send(Input::CallEnded(end));
+    inputs.send(NodeEvent::CallEnded(end));
 }
 
 fn request(
@@ -190,13 +190,13 @@
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::NotSent,
         _ => Outcome::Error,
     };
-    end.over = matches!(response.status(), StatusCode::OK | StatusCode::GONE);
+    end.completes_message = matches!(response.status(), StatusCode::OK | StatusCode::GONE);
     if end.outcome == Outcome::Full {
         let wait = text(headers, "X-Come-Back-Ms").and_then(|ms| ms.trim().parse::<f64>().ok());
         let wait = wait.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
         end.wait_until = wait.and_then(|w| Instant::now().checked_add(w));
     }
-    end.report = text(headers, "X-Load").filter(|_| reports).and_then(limit_report);
+    end.limit_report = text(headers, "X-Load").filter(|_| reports).and_then(limit_report);
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
--- a/src/bin/foldtrack/upgrade.rs
+++ b/src/bin/foldtrack/upgrade.rs
@@ -1,6 +1,6 @@
 //! A new version takes over from the one that runs: who owns the log, and the exchange in which that changes hands.
 
-use crate::events::{Input, Inputs};
+use crate::events::{EventSender, NodeEvent};
 use hatchline::settings::Parsed;
 use hatchline::{Micros, TargetId};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -234,7 +234,9 @@
 }
 
 /// Waits for successors, where the processes meet, and passes those to the node whose state would fit.
-pub(crate) fn await_successor(meeting: &Path, format: String, inputs: Inputs) -> io::Result<JoinHandle<()>> {
+pub(crate) fn await_successor(
+    meeting: &Path, format: String, inputs: EventSender,
+) -> io::Result<JoinHandle<()>> {
     match fs::remove_file(meeting) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
@@ -255,12 +257,12 @@
             };
             match timeout(EXCHANGE_WAIT, hello).await {
                 Ok(Ok(theirs)) if theirs == format => match stream.into_std() {
-                    Ok(stream) => inputs.send(Input::Successor(stream)),
+                    Ok(stream) => inputs.send(NodeEvent::Successor(stream)),
                     Err(error) => eprintln!("upgrade: {error}"),
                 },
                 Ok(Ok(theirs)) => {
                     eprintln!("upgrade: the state does not fit: {theirs} for {format}; ending");
-                    inputs.send(Input::Terminate);
+                    inputs.send(NodeEvent::Terminate);
                 }
                 Ok(Err(error)) => eprintln!("upgrade: {error}"),
                 Err(_) => eprintln!("upgrade: a successor says nothing"),
