--- a/scale/src/discovery/endpoint_list.rs
+++ b/scale/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The list that the stand-in for discovery holds, its versions, and their JSON form.
 
 use bytes::Bytes;
-use hatchline::discovery::list::{ServerLine, ServerState};
+use hatchline::discovery::list::{ServerEntry, ServerState};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Serialize)]
 struct Entry {
     #[serde(flatten)]
-    line: ServerLine,
+    line: ServerEntry,
     started_ms: u64,
 }
 
@@ -125,7 +125,7 @@
 
 fn entry(number: u32, zones: u32) -> Entry {
     let address = Ipv4Addr::from(FIRST_ADDRESS + number);
-    let line = ServerLine {
+    let line = ServerEntry {
         id: format!("s-{:08x}", number.wrapping_mul(NAME_FACTOR)),
         addr: SocketAddr::from((address, ENDPOINT_PORT)),
         zone: format!("zone-{}", number % zones),
--- a/scale/src/discovery/fleet.rs
+++ b/scale/src/discovery/fleet.rs
@@ -33,7 +33,7 @@
             sleep(self.latency).await;
             self.is_connected = true;
         }
-        self.meter.instance_sent(self.instance, request.wire_form(address).len());
+        self.meter.instance_sent(self.instance, request.wire_format(address).len());
         sleep(self.latency).await;
         let reply = self.server.call(self.instance, request).await;
         sleep(self.latency).await;
@@ -107,7 +107,7 @@
         let propagation = self.propagation.clone();
         let on_event = move |event| match event {
             DiscoveryEvent::List(list) => propagation.learned(instance, list.version),
-            DiscoveryEvent::UnusableReply { status, error } => {
+            DiscoveryEvent::InvalidReply { status, error } => {
                 tracing::warn!(instance, %status, ?error, "unusable reply");
             }
         };
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -127,7 +127,7 @@
     pub async fn call(&self, instance: usize, request: &ListRequest) -> Reply {
         self.accept().await;
         let generation = self.lock().generation;
-        self.meter.request_arrived(request.wire_form(self.address).len());
+        self.meter.request_arrived(request.wire_format(self.address).len());
         let reply = match self.admit(instance, request) {
             Admission::TurnedAway => {
                 self.meter.call_turned_away();
@@ -153,7 +153,7 @@
             return Admission::Queued;
         }
         match *request {
-            ListRequest::WholeList => self.slot(),
+            ListRequest::FullList => self.slot(),
             ListRequest::Watch { .. } if state.has_watch(instance) => Admission::Queued,
             ListRequest::Watch { since, .. } => {
                 let admission = if state.has_news(since) { self.slot() } else { Admission::Queued };
@@ -172,7 +172,7 @@
 
     async fn answer(&self, request: &ListRequest, slot: Option<SemaphorePermit<'_>>) -> Reply {
         let since = match *request {
-            ListRequest::WholeList => None,
+            ListRequest::FullList => None,
             ListRequest::Watch { since, wait } => {
                 self.news(since, Instant::now() + wait).await;
                 Some(since)
--- a/src/bin/foldtrack/targets.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to targets: one call and its outcome, and the connections that stand idle between calls.
 
-use crate::connection::{Connection, Failure, FirstLine, Payload};
+use crate::connection::{HttpConnection, RequestBody, SendError, StatusLine};
 use crate::events::{CallEnd, Input, Inputs};
 use crate::message::Message;
 use hatchline::{LimitReport, Outcome, TargetId};
@@ -21,29 +21,29 @@
 
 /// The connections that stand idle, by target, the one used last at the end.
 #[derive(Debug)]
-pub(crate) struct IdleConnections {
-    by_target: BTreeMap<TargetId, Vec<(Instant, Connection)>>,
+pub(crate) struct IdleConnectionPool {
+    by_target: BTreeMap<TargetId, Vec<(Instant, HttpConnection)>>,
     longest: Duration,
     most: usize,
 }
 
-impl IdleConnections {
+impl IdleConnectionPool {
     /// Targets close a connection that has been idle for `conn_idle`. A call that meets such a close may have
     /// run, which ends an unsafe message: connections are not used for the last second of it.
     pub fn new(conn_idle: Duration, most: usize) -> Self {
         let margin = Duration::from_secs(1).min(conn_idle / 4);
-        IdleConnections { by_target: BTreeMap::new(), longest: conn_idle - margin, most }
+        IdleConnectionPool { by_target: BTreeMap::new(), longest: conn_idle - margin, most }
     }
 
-    pub fn take(&mut self, target: TargetId) -> Option<(Duration, Connection)> {
-        self.sweep();
+    pub fn take(&mut self, target: TargetId) -> Option<(Duration, HttpConnection)> {
+        self.evict_expired();
         let idle = self.by_target.get_mut(&target)?;
         let last = idle.iter().rposition(|(_, c)| c.is_usable())?;
         let (since, connection) = idle.remove(last);
         Some((since.elapsed(), connection))
     }
 
-    pub fn put(&mut self, target: TargetId, connection: Connection) {
+    pub fn put(&mut self, target: TargetId, connection: HttpConnection) {
         self.by_target.entry(target).or_default().push((Instant::now(), connection));
         if self.count() > self.most {
             let oldest = self.by_target.values_mut().filter(|v| !v.is_empty()).min_by_key(|v| v[0].0);
@@ -60,7 +60,7 @@
     }
 
     /// Drops those that have shown their end or have been idle for too long.
-    pub fn sweep(&mut self) {
+    pub fn evict_expired(&mut self) {
         let now = Instant::now();
         for idle in self.by_target.values_mut() {
             idle.retain(|(since, c)| !c.is_closed() && now < *since + self.longest);
@@ -77,20 +77,20 @@
     pub address: SocketAddr,
     pub message: Arc<Message>,
     pub dial_timeout: Duration,
-    pub until: Instant,
+    pub timeout_at: Instant,
     /// One that stood idle, and for how long.
-    pub connection: Option<(Duration, Connection)>,
+    pub connection: Option<(Duration, HttpConnection)>,
     /// Answers told as limit reports.
-    pub reports: bool,
+    pub reads_limit_reports: bool,
     /// How often operators had taken the target out or put it back when the call began.
-    pub era: u32,
+    pub generation: u32,
 }
 
 /// Makes one call and tells its end: exactly once, and never tries again by itself.
-pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
+pub(crate) async fn make_call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
     let end = CallEnd::new(call.number, call.attempt, call.target, Outcome::ConnectFailed, false);
-    let mut end = CallEnd { era: call.era, ..end };
-    let Call { message, connection: idle, until, dial_timeout, address, reports, .. } = call;
+    let mut end = CallEnd { era: call.generation, ..end };
+    let Call { message, connection: idle, timeout_at, dial_timeout, address, reads_limit_reports, .. } = call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
     let (reused, written) = (idle.is_some(), inputs.clone());
     // From when the request is with the connection only an answer proves that it has not run.
@@ -101,7 +101,8 @@
             Some((_, connection)) => connection,
             None => {
                 let tell = move |class| written.send(Input::Written { class });
-                let Ok(Ok(connection)) = timeout(dial_timeout, Connection::open(address, tell)).await else {
+                let Ok(Ok(connection)) = timeout(dial_timeout, HttpConnection::open(address, tell)).await
+                else {
                     return Err(Outcome::ConnectFailed);
                 };
                 // A lost packet makes this late by a second: what was told meanwhile holds for this call too.
@@ -115,35 +116,35 @@
                 connection
             }
         };
-        let payload = connection.payload(&message);
-        let request = request(&message, payload, address, until).ok_or(Outcome::NotSent)?;
+        let payload = connection.request_body(&message);
+        let request = request(&message, payload, address, timeout_at).ok_or(Outcome::NotSent)?;
         handed_over = Some(connection.first_line.clone());
         match connection.send(request).await {
             Ok(response) => Ok((connection, response)),
             // A connection that was closed while it stood idle tells nothing of the target's health.
-            Err(Failure::Unsent) if reused => Err(Outcome::NotSent),
-            Err(Failure::Unsent) => Err(Outcome::ConnectFailed),
-            Err(Failure::Broken) => Err(Outcome::Reset),
+            Err(SendError::NotWritten) if reused => Err(Outcome::NotSent),
+            Err(SendError::NotWritten) => Err(Outcome::ConnectFailed),
+            Err(SendError::ConnectionLost) => Err(Outcome::Reset),
         }
     };
     let answer = tokio::select! {
         biased;
         answer = exchange => answer.map_err(Some),
-        () = sleep_until(until) => Err(None),
+        () = sleep_until(timeout_at) => Err(None),
         Ok(()) = &mut cancelled => Err(Some(Outcome::Cancelled)),
     };
     match answer {
         Ok((mut connection, response)) => {
-            read_head(&mut end, &response, reports);
+            read_head(&mut end, &response, reads_limit_reports);
             if !reused && is_crowded(&end, &response) {
                 end.outcome = Outcome::TooManyConnections;
             }
-            let rest = timeout(REST_WAIT, connection.finish(response.into_body(), REST_BYTES)).await;
+            let rest = timeout(REST_WAIT, connection.read_body(response.into_body(), REST_BYTES)).await;
             end.connection = matches!(rest, Ok(Some(_))).then_some(connection);
             end.cut_short = end.connection.is_none() && end.outcome != Outcome::TooManyConnections;
         }
         // The rest of the answer cannot be read, or does not come.
-        Err(_) if handed_over.as_ref().is_some_and(FirstLine::says_delivered) => {
+        Err(_) if handed_over.as_ref().is_some_and(StatusLine::is_ok) => {
             (end.outcome, end.over, end.cut_short) = (Outcome::Ok, true, true);
         }
         Err(Some(Outcome::Cancelled)) if handed_over.is_none() => end.outcome = Outcome::NotSent,
@@ -155,9 +156,9 @@
 }
 
 fn request(
-    message: &Message, payload: Payload, address: SocketAddr, until: Instant,
-) -> Option<Request<Payload>> {
-    let left = until.saturating_duration_since(Instant::now()).as_micros();
+    message: &Message, payload: RequestBody, address: SocketAddr, timeout_at: Instant,
+) -> Option<Request<RequestBody>> {
+    let left = timeout_at.saturating_duration_since(Instant::now()).as_micros();
     let mut request = Request::builder()
         .method(Method::POST)
         .uri("/v1/messages")
@@ -180,7 +181,7 @@
 }
 
 /// What an answer means, by the table of the protocol. What is not in it may have run.
-fn read_head(end: &mut CallEnd, response: &Response<Incoming>, reports: bool) {
+fn read_head(end: &mut CallEnd, response: &Response<Incoming>, reads_limit_reports: bool) {
     let headers = response.headers();
     end.outcome = match response.status() {
         StatusCode::OK => Outcome::Ok,
@@ -196,7 +197,7 @@
         let wait = wait.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
         end.wait_until = wait.and_then(|w| Instant::now().checked_add(w));
     }
-    end.report = text(headers, "X-Load").filter(|_| reports).and_then(limit_report);
+    end.report = text(headers, "X-Load").filter(|_| reads_limit_reports).and_then(limit_report);
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
--- a/src/bin/foldtrack/clients.rs
+++ b/src/bin/foldtrack/clients.rs
@@ -411,7 +411,7 @@
     // The client's time runs since it sent: what the body takes to come counts, and what the request waited to be read.
     let sent = desk.clock.now().saturating_sub((waited + desk.strain.lag()).as_micros() as Micros);
     let path = request.uri().path().strip_prefix('/').unwrap_or_default();
-    let (class_name, key) = path.split_once('/').unwrap_or((path, ""));
+    let (class_name, order_key) = path.split_once('/').unwrap_or((path, ""));
     let known = desk.settings.class_names.iter().position(|n| n == class_name);
     let class = known.ok_or(StatusCode::NOT_FOUND)?;
     if request.method() != Method::POST {
@@ -419,10 +419,10 @@
     }
     let rules = &desk.settings.settings.classes[class];
     // Only a class in order has a key in its path, none has a query: a peer that adds them is no client.
-    if !(rules.in_order || key.is_empty()) || request.uri().query().is_some() {
+    if !(rules.in_order || order_key.is_empty()) || request.uri().query().is_some() {
         return Err(StatusCode::NOT_FOUND);
     }
-    let key = key.rsplit('/').next().unwrap_or("").to_string();
+    let order_key = order_key.rsplit('/').next().unwrap_or("").to_string();
     let header = |name: &str| -> Result<Option<String>, StatusCode> {
         let Some(value) = request.headers().get(name) else { return Ok(None) };
         Ok(Some(value.to_str().map_err(|_| BAD)?.trim().to_string()))
@@ -434,7 +434,7 @@
     if rules.effect == Effect::Keyed && idempotency_key.is_none() {
         return Err(BAD);
     }
-    let retry = header("X-Retry")?;
+    let retry_header = header("X-Retry")?;
     // Where a body ends must be beyond doubt: what a peer hides behind it would pass for a request.
     if !request.headers().contains_key(CONTENT_LENGTH) {
         return Err(StatusCode::LENGTH_REQUIRED);
@@ -448,8 +448,8 @@
         Err(e) if e.is::<http_body_util::LengthLimitError>() => return Err(StatusCode::PAYLOAD_TOO_LARGE),
         Err(_) => return Err(BAD),
     };
-    let expires = sent.checked_add(left).ok_or(BAD)?;
-    Ok(Message { id, class, destination, key, idempotency_key, retry, expires, body })
+    let expires_at = sent.checked_add(left).ok_or(BAD)?;
+    Ok(Message { id, class, destination, order_key, idempotency_key, retry_header, expires_at, body })
 }
 
 /// A span as a number and a unit: `480m` milliseconds or `900u` microseconds.
--- a/src/bin/foldtrack/clients_tests.rs
+++ b/src/bin/foldtrack/clients_tests.rs
@@ -122,7 +122,7 @@
     for queued in [300_000, 0] {
         client.write_all(LETTER).await.unwrap();
         let Some(Input::HandIn { message, reply }) = receiver.recv().await else { panic!("not handed in") };
-        assert_eq!(message.expires, now - queued + 9_000_000, "only the first was queued");
+        assert_eq!(message.expires_at, now - queued + 9_000_000, "only the first was queued");
         drop(reply);
         client.read_exact(&mut [0; 12]).await.expect("an answer");
     }
--- a/src/bin/foldtrack/clock.rs
+++ b/src/bin/foldtrack/clock.rs
@@ -22,7 +22,7 @@
     }
 
     /// Goes on with another process's clock, of which this was the time at this time of day.
-    pub fn continuing(now: Micros, unix: Micros) -> Clock {
+    pub fn resume(now: Micros, unix: Micros) -> Clock {
         let fresh = Clock::new();
         Clock { base: now + fresh.unix_start.saturating_sub(unix), ..fresh }
     }
@@ -31,19 +31,19 @@
         self.base + self.start.elapsed().as_micros() as Micros
     }
 
-    pub fn instant(&self, at: Micros) -> Instant {
+    pub fn instant_at(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.saturating_sub(self.base))
     }
 
-    pub fn micros(&self, at: Instant) -> Micros {
+    pub fn micros_at(&self, at: Instant) -> Micros {
         self.base + at.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    pub fn unix(&self, at: Micros) -> Micros {
+    pub fn unix_micros_at(&self, at: Micros) -> Micros {
         (self.unix_start + at).saturating_sub(self.base)
     }
 
-    pub fn since_unix(&self, unix: Micros) -> Micros {
+    pub fn micros_at_unix(&self, unix: Micros) -> Micros {
         (self.base + unix).saturating_sub(self.unix_start)
     }
 }
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -1,6 +1,6 @@
 //! What the forwarder is told at its start: the environment and the configuration file.
 
-use crate::last_list;
+use crate::endpoint_list_cache;
 use hatchline::discovery::list::ServerList;
 use hatchline::settings::Parsed;
 use serde::Deserialize;
@@ -11,15 +11,15 @@
 
 #[derive(Debug)]
 pub(crate) struct Config {
-    pub listen: SocketAddr,
-    pub discovery: SocketAddr,
+    pub listen_address: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where operators connect, if they may.
-    pub admin: Option<SocketAddr>,
-    pub state: PathBuf,
+    pub admin_address: Option<SocketAddr>,
+    pub state_directory: PathBuf,
     pub seed: u64,
-    pub sockets: usize,
+    pub max_sockets: usize,
     pub disk_bytes: u64,
-    pub known: ServerList,
+    pub known_endpoints: ServerList,
     pub settings: Arc<Parsed>,
 }
 
@@ -62,7 +62,7 @@
 
 impl Config {
     /// Where discovery is by the file, which may have been replaced since the start.
-    pub fn discovery_now() -> Result<SocketAddr, String> {
+    pub fn reload_discovery_address() -> Result<SocketAddr, String> {
         Ok(read_file()?.1.discovery)
     }
 
@@ -78,18 +78,18 @@
         if file.settings.settings.classes.is_empty() || file.settings.settings.slots == 0 {
             return Err(format!("{path}: settings without classes or without slots"));
         }
-        let state = PathBuf::from(variable("BALANCER_STATE")?);
+        let state_directory = PathBuf::from(variable("BALANCER_STATE")?);
         Ok(Config {
-            listen: address("BALANCER_LISTEN")?.unwrap_or(file.listen),
+            listen_address: address("BALANCER_LISTEN")?.unwrap_or(file.listen),
             // The environment keeps the address of the first start; the file may be newer.
-            discovery: file.discovery,
-            admin: address("BALANCER_ADMIN")?.or(file.admin),
+            discovery_address: file.discovery,
+            admin_address: address("BALANCER_ADMIN")?.or(file.admin),
             seed: u64::from_str_radix(&file.seed, 16)
                 .map_err(|e| format!("{path}: seed {:?}: {e}", file.seed))?,
-            sockets: file.limits.sockets,
+            max_sockets: file.limits.sockets,
             disk_bytes: disk_bytes as u64,
-            known: last_list::newest(&state, file.known),
-            state,
+            known_endpoints: endpoint_list_cache::load_newest(&state_directory, file.known),
+            state_directory,
             settings: Arc::new(file.settings),
         })
     }
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -33,19 +33,19 @@
 type Written = Arc<AtomicUsize>;
 
 /// What a request carries: one piece of bytes that marks, when it is taken, that the next flush counts.
-pub(crate) struct Payload {
+pub(crate) struct RequestBody {
     bytes: Option<Bytes>,
     mark: Option<(usize, Written)>,
 }
 
-impl Payload {
+impl RequestBody {
     /// The body of a request whose writing counts for nothing.
-    pub fn uncounted(bytes: Bytes) -> Payload {
-        Payload { bytes: Some(bytes).filter(|b| !b.is_empty()), mark: None }
+    pub fn uncounted(bytes: Bytes) -> RequestBody {
+        RequestBody { bytes: Some(bytes).filter(|b| !b.is_empty()), mark: None }
     }
 
-    fn counted(bytes: Bytes, class: usize, written: Written) -> Payload {
-        let mut payload = Payload { mark: Some((class, written)), ..Payload::uncounted(bytes) };
+    fn counted(bytes: Bytes, class: usize, written: Written) -> RequestBody {
+        let mut payload = RequestBody { mark: Some((class, written)), ..RequestBody::uncounted(bytes) };
         if payload.bytes.is_none() {
             // It is not asked for: the request is whole with its head.
             payload.taken();
@@ -60,7 +60,7 @@
     }
 }
 
-impl Body for Payload {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -83,9 +83,9 @@
 /// The first line of an answer, as far as it has come. The HTTP library drops it with an answer that it cannot read, or
 /// that ends too soon; where it says 200 the message is delivered all the same.
 #[derive(Clone, Default)]
-pub(crate) struct FirstLine(Arc<Mutex<Vec<u8>>>);
+pub(crate) struct StatusLine(Arc<Mutex<Vec<u8>>>);
 
-impl FirstLine {
+impl StatusLine {
     fn bytes(&self) -> MutexGuard<'_, Vec<u8>> {
         // Each change is one call on it: a panic elsewhere leaves it whole.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -101,7 +101,7 @@
         line.extend_from_slice(&bytes[..end.min(room)]);
     }
 
-    pub fn says_delivered(&self) -> bool {
+    pub fn is_ok(&self) -> bool {
         let line = self.bytes();
         let mut words = line.split(|b| b.is_ascii_whitespace());
         let version = words.next().is_some_and(|word| word.starts_with(b"HTTP/"));
@@ -112,7 +112,7 @@
 /// Tells of each message that has been written whole, and keeps the first line of its answer.
 struct CallTap<F> {
     written: Written,
-    first_line: FirstLine,
+    first_line: StatusLine,
     tell: F,
 }
 
@@ -130,65 +130,65 @@
 }
 
 /// An HTTP connection. It closes when this is dropped, also in the middle of a call.
-pub(crate) struct Connection {
-    sender: SendRequest<Payload>,
+pub(crate) struct HttpConnection {
+    sender: SendRequest<RequestBody>,
     driver: JoinHandle<()>,
     written: Written,
-    pub first_line: FirstLine,
+    pub first_line: StatusLine,
 }
 
-impl fmt::Debug for Connection {
+impl fmt::Debug for HttpConnection {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.debug_struct("Connection").field("sender", &self.sender).finish_non_exhaustive()
+        f.debug_struct("HttpConnection").field("sender", &self.sender).finish_non_exhaustive()
     }
 }
 
-impl Drop for Connection {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 /// Why there is no answer.
-pub(crate) enum Failure {
+pub(crate) enum SendError {
     /// It was handed back before a byte of it was written.
-    Unsent,
-    Broken,
+    NotWritten,
+    ConnectionLost,
 }
 
-impl Connection {
-    /// `tell` is called with the class of each message of [`Connection::payload`] that has been written whole.
+impl HttpConnection {
+    /// `tell` is called with the class of each message of [`HttpConnection::payload`] that has been written whole.
     pub async fn open(
         address: SocketAddr, tell: impl Fn(usize) + Send + Unpin + 'static,
-    ) -> io::Result<Connection> {
+    ) -> io::Result<HttpConnection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let written = Written::new(AtomicUsize::new(NOTHING));
-        let first_line = FirstLine::default();
+        let first_line = StatusLine::default();
         let tap = CallTap { written: written.clone(), first_line: first_line.clone(), tell };
         let tapped = Tapped { stream, tap };
         let handshake = http1::Builder::new().max_buf_size(HEAD_BYTES).handshake(TokioIo::new(tapped)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         // Errors reach the call that is out; between calls they only end the connection.
         let driver = tokio::spawn(async move { drop(connection.await) });
-        Ok(Connection { sender, driver, written, first_line })
+        Ok(HttpConnection { sender, driver, written, first_line })
     }
 
-    pub fn payload(&self, message: &Message) -> Payload {
-        Payload::counted(message.body.clone(), message.class, self.written.clone())
+    pub fn request_body(&self, message: &Message) -> RequestBody {
+        RequestBody::counted(message.body.clone(), message.class, self.written.clone())
     }
 
     /// Hands a request to the connection and waits for the head of the answer.
-    pub async fn send(&mut self, request: Request<Payload>) -> Result<Response<Incoming>, Failure> {
+    pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
         self.first_line.bytes().clear();
         self.sender.try_send_request(request).await.map_err(|mut error| match error.take_message() {
-            Some(_) => Failure::Unsent,
-            None => Failure::Broken,
+            Some(_) => SendError::NotWritten,
+            None => SendError::ConnectionLost,
         })
     }
 
     /// Reads an answer to its end and waits until the next request may go.
-    pub async fn finish(&mut self, body: Incoming, limit: usize) -> Option<Bytes> {
+    pub async fn read_body(&mut self, body: Incoming, limit: usize) -> Option<Bytes> {
         let body = Limited::new(body, limit).collect().await.ok()?.to_bytes();
         self.sender.ready().await.ok()?;
         Some(body)
--- a/src/bin/foldtrack/discovery_client.rs
+++ b/src/bin/foldtrack/discovery_client.rs
@@ -1,7 +1,7 @@
 //! The discovery client of the forwarder: over one HTTP connection, kept between exchanges unless one fails, with news
 //! to the node.
 
-use crate::connection::{Connection, Payload};
+use crate::connection::{HttpConnection, RequestBody};
 use crate::events::{Input, Inputs};
 use bytes::Bytes;
 use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent};
@@ -17,12 +17,12 @@
 const LONGEST_LIST: usize = 4 << 20;
 
 /// A client that tells the node of each list. The caller runs it.
-pub(crate) fn client(
+pub(crate) fn build_client(
     settings: &Settings, inputs: Inputs,
 ) -> Client<HttpTransport, impl FnMut(DiscoveryEvent) + Send> {
     let on_event = move |event| match event {
         DiscoveryEvent::List(list) => inputs.send(Input::List(list)),
-        DiscoveryEvent::UnusableReply { status, error } => {
+        DiscoveryEvent::InvalidReply { status, error } => {
             let reason = error.map_or_else(|| "no list".to_string(), |error| error.to_string());
             eprintln!("discovery: status {status}, {reason}");
         }
@@ -33,7 +33,7 @@
 /// Exchanges with discovery over HTTP.
 #[derive(Debug, Default)]
 pub(crate) struct HttpTransport {
-    connection: Option<Connection>,
+    connection: Option<HttpConnection>,
 }
 
 impl Transport for HttpTransport {
@@ -43,7 +43,7 @@
         let request = http_request(address, request)?;
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => Connection::open(address, |_| ()).await.map_err(TransportError::Connect)?,
+            None => HttpConnection::open(address, |_| ()).await.map_err(TransportError::Connect)?,
         };
         let response = connection.send(request).await.map_err(|_| TransportError::Interrupted)?;
         let status = response.status();
@@ -52,7 +52,7 @@
             let body = body.map_err(|_| TransportError::Interrupted)?.to_bytes();
             return Ok(Reply { status, body });
         }
-        let body = connection.finish(response.into_body(), LONGEST_LIST).await;
+        let body = connection.read_body(response.into_body(), LONGEST_LIST).await;
         let body = body.ok_or(TransportError::Interrupted)?;
         self.connection = Some(connection);
         Ok(Reply { status, body })
@@ -63,10 +63,10 @@
     }
 }
 
-fn http_request(address: SocketAddr, request: &ListRequest) -> Result<Request<Payload>, TransportError> {
+fn http_request(address: SocketAddr, request: &ListRequest) -> Result<Request<RequestBody>, TransportError> {
     Request::get(request.path())
         .header(HOST, address.to_string())
-        .body(Payload::uncounted(Bytes::new()))
+        .body(RequestBody::uncounted(Bytes::new()))
         .map_err(|_| TransportError::InvalidRequest)
 }
 
--- a/src/bin/foldtrack/relay.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -3,10 +3,10 @@
 use crate::clock::Clock;
 use crate::events::{AdminRequest, AdminResponse, Answer, CallEnd, Input, Inputs, Receipt, Stage};
 use crate::figures::{Ended, Figures};
-use crate::journal::Accepted;
+use crate::hot_restart::{frame, length_of};
 use crate::message::Message;
 use crate::places::Places;
-use crate::upgrade::{frame, length_of};
+use crate::write_ahead_log::AcceptedMessage;
 use hatchline::settings::Parsed;
 use hatchline::{LimitReport, Outcome, Pool, TargetId};
 use hyper::StatusCode;
@@ -57,7 +57,7 @@
     /// Handed in on a connection that it still has; the name of the answer.
     HandIn {
         name: u64,
-        accepted: Accepted,
+        accepted: AcceptedMessage,
     },
 }
 
@@ -70,13 +70,13 @@
 }
 
 /// A call of the old process: message, attempt, target, and what tells that it is called off.
-pub(crate) type LeftCall = (u64, u32, TargetId, oneshot::Receiver<()>);
+pub(crate) type InheritedCall = (u64, u32, TargetId, oneshot::Receiver<()>);
 
 /// What keeps the owner in touch with the process that it took over from.
-pub(crate) struct Predecessor {
+pub(crate) struct PredecessorLink {
     pub inputs: Inputs,
     pub settings: Arc<Parsed>,
-    pub calls: Vec<LeftCall>,
+    pub calls: Vec<InheritedCall>,
     /// Messages whose clients it is telling that they are taken on.
     pub answering: BTreeSet<u64>,
     /// Places that its connections take.
@@ -90,13 +90,13 @@
     Answer { name: u64, answer: Answer },
 }
 
-impl Predecessor {
+impl PredecessorLink {
     /// Passes on what the old process tells, until it has ended. What it leaves open then has an end too: its calls
     /// may have run, and clients may have heard that their messages are taken on.
-    pub async fn attend(self, stream: UnixStream) -> io::Result<()> {
+    pub async fn run(self, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
-        let Predecessor { inputs, settings, calls, mut answering, reserved, clock } = self;
+        let PredecessorLink { inputs, settings, calls, mut answering, reserved, clock } = self;
         let (words, mut said) = mpsc::unbounded_channel();
         let mut open: BTreeMap<(u64, u32), TargetId> = BTreeMap::new();
         for (number, attempt, target, cancelled) in calls {
@@ -156,7 +156,7 @@
                         }
                     },
                     Some(FromOld::HandIn { name, accepted }) => {
-                        let message = Message::of(accepted, &settings, &clock);
+                        let message = Message::from_accepted(accepted, &settings, &clock);
                         let (reply, answer) = oneshot::channel();
                         inputs.send(Input::HandIn { message: Arc::new(message), reply });
                         let words = words.clone();
@@ -186,7 +186,7 @@
 }
 
 /// What is left of a process that has handed over: its calls in flight and its clients' connections.
-pub(crate) struct Remainder {
+pub(crate) struct DrainingProcess {
     /// What calls each off, unless it has been.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
     pub figures: Figures,
@@ -197,23 +197,23 @@
     pub stage: watch::Sender<Stage>,
     pub places: Places,
     /// After the signal to end: when idle connections close, and by when the process has ended.
-    pub accept_on: Duration,
-    pub end_by: Duration,
+    pub close_idle_after: Duration,
+    pub exit_within: Duration,
 }
 
 /// How it ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Rest {
-    Done,
+pub(crate) enum ExitReason {
+    Completed,
     /// The successor has ended first, and nobody owns the log.
-    Orphaned,
+    SuccessorLost,
 }
 
-impl Remainder {
+impl DrainingProcess {
     /// Serves the successor until nothing is left to do.
-    pub async fn serve(
+    pub async fn run(
         mut self, stream: UnixStream, mut receiver: UnboundedReceiver<Input>,
-    ) -> io::Result<Rest> {
+    ) -> io::Result<ExitReason> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
         let (frames, mut heard) = mpsc::unbounded_channel();
@@ -242,7 +242,7 @@
                     Input::HandIn { message, reply } => {
                         next_name += 1;
                         replies.insert(next_name, reply);
-                        let accepted = message.accepted(&self.settings, &self.clock);
+                        let accepted = message.to_accepted(&self.settings, &self.clock);
                         let _ = tell.send(FromOld::HandIn { name: next_name, accepted });
                     }
                     Input::Terminate => terminated = terminated.or(Some(Instant::now())),
@@ -267,17 +267,17 @@
                         let answer = Answer::Refused { retry_in_ms };
                         let _ = replies.remove(&name).map(|reply| reply.send(answer));
                     }
-                    None if terminated.is_some() => break Rest::Done,
-                    None => break Rest::Orphaned,
+                    None if terminated.is_some() => break ExitReason::Completed,
+                    None => break ExitReason::SuccessorLost,
                 },
                 () = sleep_until(look) => {
                     look = Instant::now() + LOOK;
                     let left = !(calls.is_empty() && replies.is_empty() && self.places.taken() == 0);
                     let since = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
-                    if !left || since >= self.end_by {
-                        break Rest::Done;
+                    if !left || since >= self.exit_within {
+                        break ExitReason::Completed;
                     }
-                    if since >= self.accept_on {
+                    if since >= self.close_idle_after {
                         self.stage.send_replace(Stage::Closing);
                     }
                 }
@@ -339,7 +339,7 @@
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
         let settings = json!({"balancers": 1, "categories": classes, "limits": {}});
         let settings: Arc<Parsed> = Arc::new(serde_json::from_value(settings).unwrap());
-        let mut old = Remainder {
+        let mut old = DrainingProcess {
             calls: BTreeMap::new(),
             figures: Figures::new(&settings.class_names),
             pool: Pool::default(),
@@ -348,8 +348,8 @@
             clock: Clock::new(),
             stage: watch::Sender::new(Stage::Succeeded),
             places: Places::new(1),
-            accept_on: Duration::ZERO,
-            end_by: Duration::ZERO,
+            close_idle_after: Duration::ZERO,
+            exit_within: Duration::ZERO,
         };
         old.pass_on(Input::TurnedAway { class: 0 }, &mpsc::unbounded_channel().0);
         let text = old.figures.text(0, old.pool);
--- a/src/bin/foldtrack/last_list.rs
+++ b/src/bin/foldtrack/endpoint_list_cache.rs
@@ -1,7 +1,7 @@
 //! The list that discovery told last, in a file that outlasts the process. What it drained binds the next process from
 //! its first moment, also while discovery is silent; the configuration's list may be older.
 
-use hatchline::discovery::list::{ServerLine, ServerList, ServerState};
+use hatchline::discovery::list::{ServerEntry, ServerList, ServerState};
 use std::collections::BTreeMap;
 use std::fs;
 use std::io;
@@ -17,7 +17,7 @@
 }
 
 /// The same for a list to begin with.
-pub(crate) fn room(known: &ServerList) -> u64 {
+pub(crate) fn reserved_bytes(known: &ServerList) -> u64 {
     room_for(serde_json::to_vec(known).map_or(0, |bytes| bytes.len()))
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// The list to begin with: the one that was told last, unless the configuration knows a newer one.
-pub(crate) fn newest(folder: &Path, known: ServerList) -> ServerList {
+pub(crate) fn load_newest(folder: &Path, known: ServerList) -> ServerList {
     let kept = match fs::read(path(folder)) {
         Ok(bytes) => serde_json::from_slice::<ServerList>(&bytes)
             .inspect_err(|e| eprintln!("discovery: the list that was told last cannot be read: {e}"))
@@ -38,22 +38,22 @@
 
 /// What has been told, and where it is kept.
 #[derive(Debug)]
-pub(crate) struct LastList {
+pub(crate) struct EndpointListCache {
     path: PathBuf,
-    lines: BTreeMap<String, ServerLine>,
+    lines: BTreeMap<String, ServerEntry>,
     /// What the folder leaves free.
     room: u64,
 }
 
-impl LastList {
-    pub fn open(folder: &Path, known: &ServerList) -> LastList {
-        let lines = newest(folder, known.clone()).servers.into_iter().map(|s| (s.id.clone(), s));
-        LastList { path: path(folder), lines: lines.collect(), room: room(known) }
+impl EndpointListCache {
+    pub fn open(folder: &Path, known: &ServerList) -> EndpointListCache {
+        let lines = load_newest(folder, known.clone()).servers.into_iter().map(|s| (s.id.clone(), s));
+        EndpointListCache { path: path(folder), lines: lines.collect(), room: reserved_bytes(known) }
     }
 
     /// Takes in a list or the changes since the last, and writes what is listed now. If it needs more room, it asks
     /// for that: `more` says whether so many bytes more are left free from now on.
-    pub fn note(&mut self, list: &ServerList, more: impl FnOnce(u64) -> bool) {
+    pub fn update(&mut self, list: &ServerList, more: impl FnOnce(u64) -> bool) {
         if list.full {
             self.lines.clear();
         }
@@ -85,12 +85,12 @@
 mod tests {
     use super::*;
 
-    fn line(id: &str, state: ServerState) -> ServerLine {
+    fn line(id: &str, state: ServerState) -> ServerEntry {
         let (addr, zone, kind) = ("127.0.0.1:80".parse().unwrap(), "z".into(), "k".into());
-        ServerLine { id: id.into(), addr, zone, kind, cell: 1, state, weight: 1.5 }
+        ServerEntry { id: id.into(), addr, zone, kind, cell: 1, state, weight: 1.5 }
     }
 
-    fn list(version: u64, full: bool, servers: Vec<ServerLine>) -> ServerList {
+    fn list(version: u64, full: bool, servers: Vec<ServerEntry>) -> ServerList {
         ServerList { version, full, servers }
     }
 
@@ -101,24 +101,24 @@
             |list: &ServerList| list.servers.iter().map(|s| (s.id.clone(), s.state)).collect::<Vec<_>>();
         let known = list(3, true, vec![line("a", ServerState::Active), line("b", ServerState::Active)]);
         let drained = list(4, false, vec![line("a", ServerState::Leaving)]);
-        LastList::open(folder.path(), &known).note(&drained, |_| false);
+        EndpointListCache::open(folder.path(), &known).update(&drained, |_| false);
         let change = list(5, false, vec![line("b", ServerState::Left), line("c", ServerState::Active)]);
-        LastList::open(folder.path(), &known).note(&change, |_| false);
-        let kept = newest(folder.path(), known.clone());
+        EndpointListCache::open(folder.path(), &known).update(&change, |_| false);
+        let kept = load_newest(folder.path(), known.clone());
         assert_eq!((kept.version, kept.full), (5, true));
         assert_eq!(ids(&kept), [("a".into(), ServerState::Leaving), ("c".into(), ServerState::Active)]);
-        assert_eq!(newest(folder.path(), list(6, true, vec![])).version, 6);
+        assert_eq!(load_newest(folder.path(), list(6, true, vec![])).version, 6);
         fs::write(path(folder.path()), "{").unwrap();
-        assert_eq!(newest(folder.path(), known).version, 3);
+        assert_eq!(load_newest(folder.path(), known).version, 3);
     }
 
     #[test]
     fn a_list_that_has_no_room_is_not_kept_at_all() {
         let folder = tempfile::tempdir().unwrap();
-        let mut last = LastList::open(folder.path(), &ServerList::default());
-        last.note(&list(1, true, vec![line("a", ServerState::Active)]), |_| false);
-        last.note(&many(2), |_| false);
-        assert_eq!(newest(folder.path(), ServerList::default()).version, 0);
+        let mut last = EndpointListCache::open(folder.path(), &ServerList::default());
+        last.update(&list(1, true, vec![line("a", ServerState::Active)]), |_| false);
+        last.update(&many(2), |_| false);
+        assert_eq!(load_newest(folder.path(), ServerList::default()).version, 0);
     }
 
     fn many(version: u64) -> ServerList {
@@ -128,19 +128,19 @@
     #[test]
     fn a_list_of_a_thousand_endpoints_is_kept_in_the_room_it_asks_for() {
         let folder = tempfile::tempdir().unwrap();
-        let mut last = LastList::open(folder.path(), &ServerList::default());
+        let mut last = EndpointListCache::open(folder.path(), &ServerList::default());
         let mut room = last.room;
-        last.note(&many(1), |more| {
+        last.update(&many(1), |more| {
             room += more;
             true
         });
-        let kept = newest(folder.path(), ServerList::default());
+        let kept = load_newest(folder.path(), ServerList::default());
         assert_eq!((kept.version, kept.servers.len()), (1, 1024));
         let on_disk = fs::metadata(path(folder.path())).unwrap().len().next_multiple_of(512);
         assert!(2 * on_disk <= room, "{on_disk} bytes beside those that take their place, in {room}");
         // From the next start on the room is there from the first moment.
-        assert_eq!(super::room(&kept), room);
-        LastList::open(folder.path(), &kept).note(&many(2), |_| false);
-        assert_eq!(newest(folder.path(), ServerList::default()).version, 2);
+        assert_eq!(super::reserved_bytes(&kept), room);
+        EndpointListCache::open(folder.path(), &kept).update(&many(2), |_| false);
+        assert_eq!(load_newest(folder.path(), ServerList::default()).version, 2);
     }
 }
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -1,7 +1,7 @@
 //! The events that sockets, timers and signals report to the node, and the handles by which they do so. The modules that
 //! report events import this one and none imports the node.
 
-use crate::connection::Connection;
+use crate::connection::HttpConnection;
 use crate::message::Message;
 use hatchline::discovery::list::ServerList;
 use hatchline::{LimitReport, Outcome, TargetId};
@@ -143,7 +143,7 @@
     /// That of the call.
     pub era: u32,
     /// Fit for the next call.
-    pub connection: Option<Connection>,
+    pub connection: Option<HttpConnection>,
 }
 
 impl CallEnd {
--- a/src/bin/foldtrack/upgrade.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -35,14 +35,14 @@
 
 /// Held by the owner of the log, through its process's end however that comes.
 #[derive(Debug)]
-pub(crate) struct Lock(File);
+pub(crate) struct LogLock(File);
 
-impl Lock {
+impl LogLock {
     /// The lock, if no other process has it.
-    fn try_take(state: &Path) -> io::Result<Option<Lock>> {
+    fn try_take(state: &Path) -> io::Result<Option<LogLock>> {
         let file = File::options().create(true).append(true).open(state.join("lock"))?;
         match file.try_lock() {
-            Ok(()) => Ok(Some(Lock(file))),
+            Ok(()) => Ok(Some(LogLock(file))),
             Err(TryLockError::WouldBlock) => Ok(None),
             Err(TryLockError::Error(error)) => Err(error),
         }
@@ -51,31 +51,31 @@
 
 /// What stands in the way of a takeover where it differs: the layout of the state, and the names in it that are
 /// places in lists.
-pub(crate) fn format_of(settings: &Parsed) -> String {
+pub(crate) fn state_format(settings: &Parsed) -> String {
     let Parsed { class_names, kind_names, zone_names, .. } = settings;
     format!("{} {class_names:?} {kind_names:?} {zone_names:?}", hatchline::FORMAT)
 }
 
 /// A message that is held, as far as the log does not tell.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct HeldState {
+pub(crate) struct MessageState {
     pub number: u64,
     pub attempts: u32,
     /// Whether its client has been told that it is taken on.
-    pub told: bool,
+    pub acknowledged: bool,
     /// A send that the module has decided on: attempt, target, until, decided.
     pub waiting: Option<(u32, TargetId, Micros, Micros)>,
 }
 
 /// All that a successor needs beside the log.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Estate {
+pub(crate) struct TakeoverState {
     /// The owner's clock, and the time of day that it was then.
     pub now: Micros,
     pub unix: Micros,
     pub policy: Vec<u8>,
     pub next_number: u64,
-    pub messages: Vec<HeldState>,
+    pub messages: Vec<MessageState>,
     /// Calls that stay with the old process.
     pub calls: Vec<(u64, u32, TargetId, bool)>,
     /// Endpoints by their number: name, address, zone, era.
@@ -86,32 +86,32 @@
 }
 
 /// How a process starts.
-pub(crate) enum Start {
+pub(crate) enum StartMode {
     /// Nobody owns the log.
-    Alone(Lock),
+    ColdStart(LogLock),
     /// The owner would hand over.
-    Successor(Box<Offer>),
+    Takeover(Box<TakeoverOffer>),
 }
 
-/// What the owner offers. It goes on as the owner unless this is [accepted](Offer::accept) in time.
-pub(crate) struct Offer {
-    pub estate: Estate,
+/// What the owner offers. It goes on as the owner unless this is [accepted](TakeoverOffer::accept) in time.
+pub(crate) struct TakeoverOffer {
+    pub estate: TakeoverState,
     stream: UnixStream,
     listener: OwnedFd,
-    lock: Lock,
+    lock: LogLock,
 }
 
 /// Finds out how to start; waits for as long as an owner neither hands over nor ends.
-pub(crate) async fn begin(state: &Path, meeting: &Path, format: &str) -> io::Result<Start> {
+pub(crate) async fn acquire_ownership(state: &Path, meeting: &Path, format: &str) -> io::Result<StartMode> {
     let mut said = false;
     loop {
-        if let Some(lock) = Lock::try_take(state)? {
-            return Ok(Start::Alone(lock));
+        if let Some(lock) = LogLock::try_take(state)? {
+            return Ok(StartMode::ColdStart(lock));
         }
         let (meeting, format) = (meeting.to_path_buf(), format.to_string());
         let asked = tokio::task::spawn_blocking(move || ask(&meeting, &format)).await;
         match asked.map_err(io::Error::other)? {
-            Ok(offer) => return Ok(Start::Successor(Box::new(offer))),
+            Ok(offer) => return Ok(StartMode::Takeover(Box::new(offer))),
             Err(error) if !said => eprintln!("upgrade: the owner of the log hands nothing over yet: {error}"),
             Err(_) => {}
         }
@@ -121,7 +121,7 @@
 }
 
 /// The folder in which the processes meet, and the socket file in it.
-pub(crate) fn meeting_point(state: &Path) -> PathBuf {
+pub(crate) fn takeover_socket_path(state: &Path) -> PathBuf {
     let shared = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|folder| folder.is_dir());
     shared.unwrap_or_else(|| state.to_path_buf()).join("handover")
 }
@@ -138,7 +138,7 @@
     Ok((Path::new(&format!("/proc/self/fd/{}", folder.as_raw_fd())).join(name), Some(folder)))
 }
 
-fn ask(meeting: &Path, format: &str) -> io::Result<Offer> {
+fn ask(meeting: &Path, format: &str) -> io::Result<TakeoverOffer> {
     let (path, _folder) = short(meeting)?;
     let mut stream = UnixStream::connect(path)?;
     bound(&stream)?;
@@ -148,12 +148,12 @@
         return Err(io::Error::other("no descriptors came"));
     };
     let estate = read_frame(&mut stream)?;
-    Ok(Offer { estate, stream, listener, lock: Lock(lock.into()) })
+    Ok(TakeoverOffer { estate, stream, listener, lock: LogLock(lock.into()) })
 }
 
-impl Offer {
+impl TakeoverOffer {
     /// Tells the owner that all could be taken over, and waits for its word; without it nothing has changed hands.
-    pub fn accept(mut self) -> io::Result<(Estate, Lock, std::net::TcpListener, UnixStream)> {
+    pub fn accept(mut self) -> io::Result<(TakeoverState, LogLock, std::net::TcpListener, UnixStream)> {
         self.stream.write_all(&[COULD])?;
         let mut word = [0];
         self.stream.read_exact(&mut word)?;
@@ -165,8 +165,8 @@
 }
 
 /// The owner's side of the exchange. With an error it still owns all.
-pub(crate) fn offer(
-    mut stream: &UnixStream, estate: &Estate, listener: &OwnedFd, lock: &Lock,
+pub(crate) fn offer_takeover(
+    mut stream: &UnixStream, estate: &TakeoverState, listener: &OwnedFd, lock: &LogLock,
 ) -> io::Result<()> {
     bound(stream)?;
     send_descriptors(stream, listener, lock)?;
@@ -185,7 +185,7 @@
     stream.set_write_timeout(Some(EXCHANGE_WAIT))
 }
 
-fn send_descriptors(stream: &UnixStream, listener: &OwnedFd, lock: &Lock) -> io::Result<()> {
+fn send_descriptors(stream: &UnixStream, listener: &OwnedFd, lock: &LogLock) -> io::Result<()> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     let descriptors = [listener.as_fd(), lock.0.as_fd()];
@@ -234,7 +234,9 @@
 }
 
 /// Waits for successors, where the processes meet, and passes those to the node whose state would fit.
-pub(crate) fn await_successor(meeting: &Path, format: String, inputs: Inputs) -> io::Result<JoinHandle<()>> {
+pub(crate) fn listen_for_successors(
+    meeting: &Path, format: String, inputs: Inputs,
+) -> io::Result<JoinHandle<()>> {
     match fs::remove_file(meeting) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -2,37 +2,37 @@
 //! and the platform.
 #![warn(missing_docs)]
 
+mod calls;
 mod clients;
 mod clock;
 mod config;
 mod connection;
+mod disabled_endpoints;
 mod discovery_client;
 mod door;
+mod draining;
+mod endpoint_list_cache;
 mod events;
 mod figures;
-mod journal;
-mod last_list;
+mod hot_restart;
 mod message;
 mod node;
-mod out;
 mod places;
-mod relay;
 mod report_client;
 mod strain;
 mod streams;
 mod tally;
-mod targets;
 mod turnstile;
-mod upgrade;
+mod write_ahead_log;
 
 use config::Config;
+use draining::ExitReason;
 use events::Input;
-use relay::Rest;
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 use tokio::signal::unix::{signal, SignalKind};
 
-async fn run(config: Config) -> Result<Rest, String> {
+async fn run(config: Config) -> Result<ExitReason, String> {
     let (inputs, receiver) = events::channel();
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
     let to_node = inputs.clone();
@@ -45,13 +45,13 @@
     let to_node = inputs.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
-            match Config::discovery_now() {
+            match Config::reload_discovery_address() {
                 Ok(address) => to_node.send(Input::Discovery(address)),
                 Err(error) => eprintln!("foldtrack: discovery stays where it is: {error}"),
             }
         }
     });
-    let (listen, state) = (config.listen, config.state.clone());
+    let (listen, state) = (config.listen_address, config.state_directory.clone());
     let end = node::run(config, inputs, receiver).await;
     end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
@@ -79,8 +79,8 @@
         runtime.map_err(|e| e.to_string())?.block_on(run(config))
     });
     match end {
-        Ok(Rest::Done) => ExitCode::SUCCESS,
-        Ok(Rest::Orphaned) => start_anew(),
+        Ok(ExitReason::Completed) => ExitCode::SUCCESS,
+        Ok(ExitReason::SuccessorLost) => start_anew(),
         Err(error) => {
             eprintln!("foldtrack: {error}");
             ExitCode::FAILURE
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -1,7 +1,7 @@
 //! A message on its way through the forwarder.
 
 use crate::clock::Clock;
-use crate::journal::Accepted;
+use crate::write_ahead_log::AcceptedMessage;
 use bytes::Bytes;
 use hatchline::settings::Parsed;
 use hatchline::Micros;
@@ -14,60 +14,60 @@
     pub id: String,
     pub class: usize,
     pub destination: u32,
-    pub key: String,
+    pub order_key: String,
     pub idempotency_key: Option<String>,
-    pub retry: Option<String>,
-    pub expires: Micros,
+    pub retry_header: Option<String>,
+    pub expires_at: Micros,
     pub body: Bytes,
 }
 
 impl Message {
     /// Bytes that it takes in the journal, about.
-    pub fn size(&self) -> usize {
+    pub fn log_bytes(&self) -> usize {
         let key = self.idempotency_key.as_ref().map_or(0, String::len);
-        self.body.len() + self.id.len() + self.key.len() + key + 128
+        self.body.len() + self.id.len() + self.order_key.len() + key + 128
     }
 
-    pub fn order_key(&self) -> u64 {
-        order_key(&self.key)
+    pub fn order_key_hash(&self) -> u64 {
+        order_key_hash(&self.order_key)
     }
 
     /// As the journal has it.
-    pub fn accepted(&self, settings: &Parsed, clock: &Clock) -> Accepted {
-        Accepted {
+    pub fn to_accepted(&self, settings: &Parsed, clock: &Clock) -> AcceptedMessage {
+        AcceptedMessage {
             id: self.id.clone(),
             class: settings.class_names.get(self.class).cloned().unwrap_or_default(),
             destination: self.destination,
-            key: self.key.clone(),
+            order_key: self.order_key.clone(),
             idempotency_key: self.idempotency_key.clone(),
-            retry: self.retry.clone(),
-            expires: clock.unix(self.expires),
+            retry_header: self.retry_header.clone(),
+            expires_at: clock.unix_micros_at(self.expires_at),
             body: self.body.to_vec(),
         }
     }
 
     /// The other way; the class is past all that the settings have if they do not name it any more.
-    pub fn of(accepted: Accepted, settings: &Parsed, clock: &Clock) -> Message {
+    pub fn from_accepted(accepted: AcceptedMessage, settings: &Parsed, clock: &Clock) -> Message {
         let class = settings.class_names.iter().position(|n| *n == accepted.class);
         Message {
             id: accepted.id,
             class: class.unwrap_or(usize::MAX),
             destination: accepted.destination,
-            key: accepted.key,
+            order_key: accepted.order_key,
             idempotency_key: accepted.idempotency_key,
-            retry: accepted.retry,
-            expires: clock.since_unix(accepted.expires),
+            retry_header: accepted.retry_header,
+            expires_at: clock.micros_at_unix(accepted.expires_at),
             body: accepted.body.into(),
         }
     }
 }
 
 /// The module's name for a key, 0 for none; two keys that share one only wait for each other.
-pub(crate) fn order_key(key: &str) -> u64 {
-    if key.is_empty() {
+pub(crate) fn order_key_hash(order_key: &str) -> u64 {
+    if order_key.is_empty() {
         return 0;
     }
     let mut hasher = DefaultHasher::new();
-    key.hash(&mut hasher);
+    order_key.hash(&mut hasher);
     hasher.finish().max(1)
 }
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -1,25 +1,25 @@
 //! The loop that owns all state: the module, the messages and the journal. What sockets and timers tell
 //! comes in as [`Input`]s; what the module decides goes out, in its order.
 
+use crate::calls::{self, Call, IdleConnectionPool};
 use crate::clients::{self, Desk};
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::disabled_endpoints::{self, DisabledEndpoints};
 use crate::discovery_client;
 use crate::door;
+use crate::draining::ExitReason;
+use crate::endpoint_list_cache::{self, EndpointListCache};
 use crate::events::{AdminRequest, AdminResponse, Answer, CallEnd, Input, Inputs, Receipt, Stage};
 use crate::figures::{Ended, Figures};
-use crate::journal::{Fate, Journal, Notice, Record, Restored};
-use crate::last_list::{self, LastList};
-use crate::message::{order_key, Message};
-use crate::out::{self, TakenOut};
+use crate::hot_restart::{self, LogLock, StartMode};
+use crate::message::{order_key_hash, Message};
 use crate::places::Places;
-use crate::relay::Rest;
 use crate::report_client::ReportClient;
 use crate::strain::Strain;
 use crate::tally::{Standing, Tally, Untried};
-use crate::targets::{self, Call, IdleConnections};
 use crate::turnstile::Turnstile;
-use crate::upgrade::{self, Lock, Start};
+use crate::write_ahead_log::{ExecutionStatus, LogRecord, NonDeliveryNotice, RestoredMessage, WriteAheadLog};
 use hatchline::discovery::list::{ServerList, ServerState};
 use hatchline::settings::Parsed;
 use hatchline::{
@@ -40,7 +40,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, timeout, Instant};
 
-mod succession;
+mod takeover;
 
 /// Inputs that one round takes in at most.
 const ROUND: usize = 1024;
@@ -88,7 +88,7 @@
 struct Ending {
     id: String,
     order_key: u64,
-    notice: Notice,
+    notice: NonDeliveryNotice,
 }
 
 /// A call that is out.
@@ -111,7 +111,7 @@
     clock: Clock,
     policy: DeliveryPolicy,
     settings: Arc<Parsed>,
-    journal: Journal,
+    journal: WriteAheadLog,
     inputs: Inputs,
     discovery: watch::Sender<SocketAddr>,
     next_number: u64,
@@ -125,13 +125,13 @@
     reports: ReportClient,
     /// By message and attempt.
     calls: BTreeMap<(u64, u32), Out>,
-    idle: IdleConnections,
+    idle: IdleConnectionPool,
     swept: Instant,
     tally: Tally,
     untried: Untried,
     figures: Figures,
-    taken_out: TakenOut,
-    last_list: LastList,
+    taken_out: DisabledEndpoints,
+    last_list: EndpointListCache,
     /// Clients are accepted.
     accepting: bool,
     target_ids: HashMap<String, TargetId>,
@@ -140,7 +140,7 @@
     stage: watch::Sender<Stage>,
     terminated: Option<Instant>,
     /// Who owns all this, and what clients are accepted from, to be handed to a successor.
-    lock: Option<Lock>,
+    lock: Option<LogLock>,
     listener: Option<OwnedFd>,
     successor: Option<UnixStream>,
     places: Places,
@@ -152,23 +152,27 @@
 /// or has handed over and has nothing left to do.
 pub(crate) async fn run(
     config: Config, inputs: Inputs, mut receiver: UnboundedReceiver<Input>,
-) -> io::Result<Rest> {
-    if let Some(address) = config.admin {
+) -> io::Result<ExitReason> {
+    if let Some(address) = config.admin_address {
         tokio::spawn(door::serve(address, inputs.clone()));
     }
-    let (format, meeting) = (upgrade::format_of(&config.settings), upgrade::meeting_point(&config.state));
+    let (format, meeting) = (
+        hot_restart::state_format(&config.settings),
+        hot_restart::takeover_socket_path(&config.state_directory),
+    );
     let (mut node, listener) = loop {
-        match upgrade::begin(&config.state, &meeting, &format).await? {
-            Start::Alone(lock) => break (Node::restored(&config, &inputs, lock)?, None),
-            Start::Successor(offer) => match Node::succeeding(&config, &inputs, *offer) {
+        match hot_restart::acquire_ownership(&config.state_directory, &meeting, &format).await? {
+            StartMode::ColdStart(lock) => break (Node::restored(&config, &inputs, lock)?, None),
+            StartMode::Takeover(offer) => match Node::take_over(&config, &inputs, *offer) {
                 Ok((node, listener)) => break (node, Some(listener)),
                 Err(error) => eprintln!("upgrade: nothing was handed over: {error}"),
             },
         }
     };
-    let discovery_client = discovery_client::client(&node.settings.settings, inputs.clone());
-    let watching =
-        tokio::spawn(discovery_client.run(node.discovery.subscribe(), config.known.known_version()));
+    let discovery_client = discovery_client::build_client(&node.settings.settings, inputs.clone());
+    let watching = tokio::spawn(
+        discovery_client.run(node.discovery.subscribe(), config.known_endpoints.known_version()),
+    );
     let mut batch = Vec::new();
     let listener = match listener {
         Some(listener) => TcpListener::from_std(listener)?,
@@ -178,7 +182,7 @@
             if let Ok(Some(first)) = timeout(FIRST_LIST, receiver.recv()).await {
                 batch.push(first);
             }
-            TcpListener::bind(config.listen).await?
+            TcpListener::bind(config.listen_address).await?
         }
     };
     node.listener = Some(listener.as_fd().try_clone_to_owned()?);
@@ -187,19 +191,19 @@
     let desk = Desk { settings, clock, inputs: inputs.clone(), stage, strain, stile };
     let accepting = tokio::spawn(clients::serve(listener, Arc::new(desk), node.places.clone()));
     node.accepting = true;
-    let meeting = upgrade::await_successor(&meeting, format, inputs);
+    let meeting = hot_restart::listen_for_successors(&meeting, format, inputs);
     if let Err(error) = &meeting {
         eprintln!("upgrade: no successor can take over while this process runs: {error}");
     }
     while !node.has_ended(accepting.is_finished()) {
         node.round(&mut batch);
         if let Some(successor) = node.successor.take() {
-            match node.hand_over(&successor) {
+            match node.offer_takeover(&successor) {
                 Ok(()) => {
                     eprintln!("upgrade: a new version has taken over");
                     watching.abort();
                     meeting.iter().for_each(JoinHandle::abort);
-                    return node.into_remainder().serve(successor, receiver).await;
+                    return node.into_draining_process().run(successor, receiver).await;
                 }
                 Err(error) => eprintln!("upgrade: nothing was handed over: {error}"),
             }
@@ -208,23 +212,25 @@
         tokio::select! {
             biased;
             // First, since this writes what the round has decided.
-            numbers = node.reports.taken() => batch.push(Input::Reported { numbers }),
+            numbers = node.reports.acknowledged() => batch.push(Input::Reported { numbers }),
             _ = receiver.recv_many(&mut batch, ROUND) => {}
             () = sleep_until(wake) => {}
         }
         node.strain.note(wake.elapsed());
     }
-    Ok(Rest::Done)
+    Ok(ExitReason::Completed)
 }
 
 impl Node {
     fn new(
         config: &Config, inputs: &Inputs, clock: Clock, policy: DeliveryPolicy,
-    ) -> io::Result<(Node, BTreeMap<u64, Restored>)> {
+    ) -> io::Result<(Node, BTreeMap<u64, RestoredMessage>)> {
         let settings = &config.settings.settings;
-        let room = config.disk_bytes.saturating_sub(out::ROOM + last_list::room(&config.known));
-        let (journal, restored) = Journal::open(&config.state, room, settings.max_attempts)?;
-        let discovery = watch::Sender::new(config.discovery);
+        let room = config.disk_bytes.saturating_sub(
+            disabled_endpoints::RESERVED_BYTES + endpoint_list_cache::reserved_bytes(&config.known_endpoints),
+        );
+        let (journal, restored) = WriteAheadLog::open(&config.state_directory, room, settings.max_attempts)?;
+        let discovery = watch::Sender::new(config.discovery_address);
         let conn_idle = Duration::from_micros(settings.connection_idle);
         let node = Node {
             clock,
@@ -240,13 +246,13 @@
             notices: BTreeMap::new(),
             unsent: BTreeSet::new(),
             calls: BTreeMap::new(),
-            idle: IdleConnections::new(conn_idle, config.sockets / 4),
+            idle: IdleConnectionPool::new(conn_idle, config.max_sockets / 4),
             swept: Instant::now(),
             tally: Tally::default(),
             untried: Untried::default(),
             figures: Figures::new(&config.settings.class_names),
-            taken_out: TakenOut::open(&config.state)?,
-            last_list: LastList::open(&config.state, &config.known),
+            taken_out: DisabledEndpoints::open(&config.state_directory)?,
+            last_list: EndpointListCache::open(&config.state_directory, &config.known_endpoints),
             accepting: false,
             target_ids: HashMap::new(),
             servers: Vec::new(),
@@ -256,7 +262,7 @@
             lock: None,
             listener: None,
             successor: None,
-            places: Places::new(config.sockets / 2),
+            places: Places::new(config.max_sockets / 2),
             strain: Strain::default(),
             actions: Vec::new(),
         };
@@ -264,12 +270,12 @@
     }
 
     /// Goes on from what the journal holds.
-    fn restored(config: &Config, inputs: &Inputs, lock: Lock) -> io::Result<Node> {
+    fn restored(config: &Config, inputs: &Inputs, lock: LogLock) -> io::Result<Node> {
         let clock = Clock::new();
         let policy = DeliveryPolicy::new(clock.now(), config.seed, config.settings.settings.clone());
         let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
         node.lock = Some(lock);
-        node.list(config.known.clone(), ListKind::Cached);
+        node.list(config.known_endpoints.clone(), ListKind::Cached);
         node.untried = Untried::before(node.next_number, clock.now());
         for (number, message) in restored {
             node.restore(number, message);
@@ -305,7 +311,7 @@
         self.tally.longest_round = self.tally.longest_round.max(took);
         if self.swept.elapsed() > SWEEP {
             self.swept = Instant::now();
-            self.idle.sweep();
+            self.idle.evict_expired();
             let line = self.tally.line(&Standing {
                 untried: self.untried,
                 held: self.messages.len(),
@@ -334,7 +340,7 @@
             Input::CallEnded(end) => self.call_ended(end),
             Input::List(list) => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
-                self.last_list.note(&list, |more| self.journal.give_up_room(more));
+                self.last_list.update(&list, |more| self.journal.release_space(more));
                 self.list(list, kind);
             }
             Input::Reported { numbers } => self.reported(numbers),
@@ -421,7 +427,7 @@
         if !was_out && !target.is_some_and(|target| self.policy.lists(target)) {
             return AdminResponse::new(StatusCode::NOT_FOUND, "no such endpoint\n");
         }
-        if let Err(error) = self.taken_out.note(name, out) {
+        if let Err(error) = self.taken_out.set_disabled(name, out) {
             eprintln!("admin: {name} stays as it is: {error}");
             return AdminResponse::new(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n"));
         }
@@ -435,17 +441,18 @@
     }
 
     /// Takes over what the journal holds of a message.
-    fn restore(&mut self, number: u64, restored: Restored) {
-        let Restored { accepted, attempts, notice } = restored;
+    fn restore(&mut self, number: u64, restored: RestoredMessage) {
+        let RestoredMessage { accepted, attempts, notice } = restored;
         if let Some(notice) = notice {
-            let order_key = order_key(&accepted.key);
+            let order_key = order_key_hash(&accepted.order_key);
             self.notices.insert(number, Ending { id: accepted.id, order_key, notice });
             self.unsent.insert(number);
             return;
         }
-        let message = Message::of(accepted, &self.settings, &self.clock);
+        let message = Message::from_accepted(accepted, &self.settings, &self.clock);
         let class = message.class;
-        let (order_key, destination, expires) = (message.order_key(), message.destination, message.expires);
+        let (order_key, destination, expires) =
+            (message.order_key_hash(), message.destination, message.expires_at);
         let held = Held {
             message: Arc::new(message),
             taken: Taken::On,
@@ -456,15 +463,15 @@
         self.messages.insert(number, held);
         if class >= self.settings.class_names.len() {
             // The settings have changed since: nothing can be promised.
-            return self.end(number, Notice::GivenUp);
+            return self.end(number, NonDeliveryNotice::GivenUp);
         }
-        let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
-        let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
+        let first = attempts.iter().find(|t| t.execution != Some(ExecutionStatus::NeverRan));
+        let first_run = first.map(|t| (self.clock.micros_at_unix(t.started_at), t.zone));
         let outcome = |fate| match fate {
-            Some(Fate::NeverRan) => Outcome::NotSent,
-            Some(Fate::MayHaveRun) | None => Outcome::Reset,
+            Some(ExecutionStatus::NeverRan) => Outcome::NotSent,
+            Some(ExecutionStatus::MayHaveRun) | None => Outcome::Reset,
         };
-        let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
+        let attempts = attempts.iter().map(|t| outcome(t.execution)).collect();
         let class = class as u32;
         self.handle(Event::Restored {
             id: number,
@@ -479,7 +486,7 @@
 
     fn hand_in(&mut self, message: Arc<Message>, reply: oneshot::Sender<Answer>) {
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
-        if full || !self.journal.has_room(message.size()) {
+        if full || !self.journal.has_space_for(message.log_bytes()) {
             self.tally.refused += 1;
             self.figures.ended(message.class, Ended::Shed);
             let retry_in_ms = self.policy.advice(message.destination).div_ceil(1000);
@@ -492,8 +499,8 @@
             id,
             class: message.class as u32,
             destination: message.destination,
-            order_key: message.order_key(),
-            expires: message.expires,
+            order_key: message.order_key_hash(),
+            expires: message.expires_at,
         };
         self.messages.insert(id, Held { message, taken: Taken::Fresh(reply), attempts: 0, waiting: None });
         self.fresh.push(id);
@@ -505,7 +512,7 @@
         for number in std::mem::take(&mut self.fresh) {
             let Some(held) = self.messages.get_mut(&number) else { continue };
             let Taken::Fresh(reply) = std::mem::replace(&mut held.taken, Taken::Answering) else { continue };
-            let accepted = Record::Accepted(held.message.accepted(&self.settings, &self.clock));
+            let accepted = LogRecord::Accepted(held.message.to_accepted(&self.settings, &self.clock));
             if let Err(error) = self.journal.append(number, &accepted) {
                 eprintln!("journal: a message is refused: {error}");
                 let _ = reply.send(Answer::Refused { retry_in_ms: 0 });
@@ -522,7 +529,7 @@
     fn answered(&mut self, number: u64, written: bool) {
         if !written {
             self.tally.gone += 1;
-            self.record(number, &Record::Over);
+            self.record(number, &LogRecord::Completed);
             self.notices.remove(&number);
             self.unsent.remove(&number);
             return self.withdraw(number);
@@ -563,9 +570,9 @@
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.end(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
+                self.end(id, NonDeliveryNotice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
             }
-            Action::Fail { id } => self.end(id, Notice::GivenUp),
+            Action::Fail { id } => self.end(id, NonDeliveryNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             Action::CloseIdle { target } => self.idle.close(target),
             Action::Log { text } => eprintln!("{text}"),
@@ -580,7 +587,7 @@
         let Some(held) = self.messages.get_mut(&number).filter(|h| matches!(h.taken, Taken::On)) else {
             return;
         };
-        let key = held.message.order_key();
+        let key = held.message.order_key_hash();
         if key != 0 && self.notices.values().any(|ending| ending.order_key == key) {
             return;
         }
@@ -611,7 +618,8 @@
     fn begin(&mut self, number: u64, attempt: u32) -> bool {
         let Some(out) = self.calls.get_mut(&(number, attempt)) else { return false };
         let zone = self.servers[out.target as usize].zone;
-        let begun = Record::Begun { at: self.clock.unix(self.clock.now()), zone };
+        let begun =
+            LogRecord::AttemptStarted { started_at: self.clock.unix_micros_at(self.clock.now()), zone };
         match self.journal.append(number, &begun) {
             Ok(()) => out.begun = true,
             Err(error) => eprintln!("journal: a call is not made: {error}"),
@@ -639,12 +647,12 @@
             address,
             message,
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
-            until: self.clock.instant(until),
+            timeout_at: self.clock.instant_at(until),
             connection,
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
-            era,
+            reads_limit_reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
+            generation: era,
         };
-        tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
+        tokio::spawn(calls::make_call(call, cancelled, self.inputs.clone()));
     }
 
     fn outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
@@ -664,11 +672,12 @@
             if let Some(held) = self.messages.remove(&end.number) {
                 let delivered = end.outcome == Outcome::Ok;
                 self.figures.ended(held.message.class, if delivered { Ended::Ok } else { Ended::Error });
-                self.record(end.number, &Record::Over);
+                self.record(end.number, &LogRecord::Completed);
             }
         } else if held && begun {
-            let fate = if end.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.record(end.number, &Record::Ended(fate));
+            let fate =
+                if end.outcome.never_ran() { ExecutionStatus::NeverRan } else { ExecutionStatus::MayHaveRun };
+            self.record(end.number, &LogRecord::AttemptEnded(fate));
         }
         let now = self.clock.now();
         self.handle(Event::Outcome {
@@ -676,55 +685,58 @@
             attempt: end.attempt,
             target: end.target,
             outcome: end.outcome,
-            took: now.saturating_sub(self.clock.micros(end.begun)),
+            took: now.saturating_sub(self.clock.micros_at(end.begun)),
             ended: end.over || !held,
             // A wait runs from the answer's arrival, not from now.
-            wait: end.wait_until.map_or(0, |until| self.clock.micros(until).saturating_sub(now)),
+            wait: end.wait_until.map_or(0, |until| self.clock.micros_at(until).saturating_sub(now)),
             report: end.report,
         });
     }
 
     /// Writes what a restart can do without: lacking it, more counts as perhaps run than has.
-    fn record(&mut self, number: u64, record: &Record) {
+    fn record(&mut self, number: u64, record: &LogRecord) {
         if let Err(error) = self.journal.append(number, record) {
             eprintln!("journal: {error}");
         }
     }
 
     /// Ends a message: in the answer to its client, if that still waits for one, else by a notice.
-    fn end(&mut self, number: u64, notice: Notice) {
+    fn end(&mut self, number: u64, notice: NonDeliveryNotice) {
         let Some(held) = self.messages.remove(&number) else { return };
         let class = held.message.class;
         if let Taken::Fresh(reply) = held.taken {
             self.figures.ended(class, Ended::Shed);
-            let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
+            let retry_in_ms =
+                if let NonDeliveryNotice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             self.tally.refused += 1;
             let _ = reply.send(Answer::Refused { retry_in_ms });
             return;
         }
-        let ended = if matches!(notice, Notice::GivenUp) { Ended::Error } else { Ended::Shed };
+        let ended = if matches!(notice, NonDeliveryNotice::GivenUp) { Ended::Error } else { Ended::Shed };
         self.figures.ended(class, ended);
-        self.untried.ended(number, held.message.expires, held.attempts);
-        let left = held.message.expires as i64 - self.clock.now() as i64;
+        self.untried.ended(number, held.message.expires_at, held.attempts);
+        let left = held.message.expires_at as i64 - self.clock.now() as i64;
         let line = self.tally.undelivered(&held.message.id, notice, held.attempts, left);
         line.into_iter().for_each(|line| eprintln!("{line}"));
-        self.record(number, &Record::Noticed(notice));
-        let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+        self.record(number, &LogRecord::NoticeIssued(notice));
+        let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key_hash(), notice };
         self.notices.insert(number, ending);
         self.unsent.insert(number);
     }
 
     fn report_notices(&mut self) {
-        while !self.unsent.is_empty() && self.reports.has_room() {
+        while !self.unsent.is_empty() && self.reports.has_capacity() {
             let numbers: Vec<u64> = self.unsent.iter().copied().take(NOTICES).collect();
             let mut lines = String::new();
             for number in &numbers {
                 self.unsent.remove(number);
                 let Ending { id, notice, .. } = &self.notices[number];
                 let line = match notice {
-                    Notice::GivenUp => json!({"message": id, "outcome": "given_up"}),
-                    Notice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
-                    Notice::HandedBack { retry_in_ms } => {
+                    NonDeliveryNotice::GivenUp => json!({"message": id, "outcome": "given_up"}),
+                    NonDeliveryNotice::HandedBack { retry_in_ms: 0 } => {
+                        json!({"message": id, "outcome": "handed_back"})
+                    }
+                    NonDeliveryNotice::HandedBack { retry_in_ms } => {
                         json!({"message": id, "outcome": "handed_back", "retry_in_ms": retry_in_ms})
                     }
                 };
@@ -737,9 +749,9 @@
     /// The platform has taken these notices: their messages are over.
     fn reported(&mut self, numbers: Vec<u64>) {
         for number in numbers {
-            self.record(number, &Record::Over);
+            self.record(number, &LogRecord::Completed);
             let key = self.notices.remove(&number).map_or(0, |ended| ended.order_key);
-            let next = |h: &Held| key != 0 && h.waiting.is_some() && h.message.order_key() == key;
+            let next = |h: &Held| key != 0 && h.waiting.is_some() && h.message.order_key_hash() == key;
             let waiting = self.messages.iter().find(|(_, h)| next(h)).map(|(number, _)| *number);
             waiting.into_iter().for_each(|next| self.send(next));
         }
@@ -765,7 +777,7 @@
     }
 
     fn wake_at(&self) -> Instant {
-        let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
+        let timer = self.timers.first().map(|(at, _)| self.clock.instant_at(*at));
         let stop = self.terminated.map(|at| {
             let steps = [at + ACCEPT_ON, at + 2 * ACCEPT_ON, at + END_BY];
             steps.into_iter().find(|s| *s > Instant::now()).unwrap_or(at)
--- a/src/bin/foldtrack/node/succession.rs
+++ b/src/bin/foldtrack/node/takeover.rs
@@ -3,11 +3,11 @@
 use super::{Held, Node, Out, Server, Stage, Taken, Waiting, ACCEPT_ON, END_BY};
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::draining::{DrainingProcess, InheritedCall, PredecessorLink};
 use crate::events::Inputs;
-use crate::journal::Restored;
+use crate::hot_restart::{self, MessageState, TakeoverOffer, TakeoverState};
 use crate::message::Message;
-use crate::relay::{LeftCall, Predecessor, Remainder};
-use crate::upgrade::{self, Estate, HeldState, Offer};
+use crate::write_ahead_log::RestoredMessage;
 use hatchline::{DeliveryPolicy, Event, TargetId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -18,21 +18,21 @@
 
 impl Node {
     /// Goes on where another process stops; with an error that one goes on.
-    pub(super) fn succeeding(
-        config: &Config, inputs: &Inputs, offer: Offer,
+    pub(super) fn take_over(
+        config: &Config, inputs: &Inputs, offer: TakeoverOffer,
     ) -> io::Result<(Node, StdListener)> {
         let settings = config.settings.settings.clone();
         let policy = DeliveryPolicy::take_over(&offer.estate.policy, settings).map_err(io::Error::other)?;
-        let clock = Clock::continuing(offer.estate.now, offer.estate.unix);
+        let clock = Clock::resume(offer.estate.now, offer.estate.unix);
         let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
         let (estate, lock, listener, stream) = offer.accept()?;
         node.lock = Some(lock);
         let reserved = node.places.reserve(estate.clients);
-        let (calls, answering) = node.inherit(estate, restored);
+        let (calls, answering) = node.adopt_state(estate, restored);
         let (inputs, settings) = (inputs.clone(), config.settings.clone());
-        let predecessor = Predecessor { inputs, settings, calls, answering, reserved, clock };
+        let predecessor = PredecessorLink { inputs, settings, calls, answering, reserved, clock };
         tokio::spawn(async move {
-            if let Err(error) = predecessor.attend(stream).await {
+            if let Err(error) = predecessor.run(stream).await {
                 eprintln!("upgrade: the old process cannot be heard: {error}");
             }
         });
@@ -41,9 +41,9 @@
 
     /// Takes in what the old process knows beside the journal; gives the calls that it still has, and the messages
     /// whose clients it is telling that they are taken on.
-    fn inherit(
-        &mut self, estate: Estate, mut restored: BTreeMap<u64, Restored>,
-    ) -> (Vec<LeftCall>, BTreeSet<u64>) {
+    fn adopt_state(
+        &mut self, estate: TakeoverState, mut restored: BTreeMap<u64, RestoredMessage>,
+    ) -> (Vec<InheritedCall>, BTreeSet<u64>) {
         self.next_number = self.next_number.max(estate.next_number);
         self.timers = estate.timers.into_iter().collect();
         for (name, address, zone, era) in estate.servers {
@@ -51,15 +51,15 @@
             self.servers.push(Server { address, zone, era });
         }
         let mut answering = BTreeSet::new();
-        for HeldState { number, attempts, told, waiting } in estate.messages {
+        for MessageState { number, attempts, acknowledged, waiting } in estate.messages {
             let Some(known) = restored.remove(&number) else {
                 // Lost to the journal by an error that was logged: nothing can be sent of it.
                 self.handle(Event::Lapsed { id: number });
                 continue;
             };
-            let message = Arc::new(Message::of(known.accepted, &self.settings, &self.clock));
-            let taken = if told { Taken::On } else { Taken::Answering };
-            answering.extend((!told).then_some(number));
+            let message = Arc::new(Message::from_accepted(known.accepted, &self.settings, &self.clock));
+            let taken = if acknowledged { Taken::On } else { Taken::Answering };
+            answering.extend((!acknowledged).then_some(number));
             let waiting =
                 waiting.map(|(attempt, target, until, decided)| Waiting { attempt, target, until, decided });
             self.messages.insert(number, Held { message, taken, attempts, waiting });
@@ -77,15 +77,15 @@
     }
 
     /// Hands all to a successor. With an error it is still the owner.
-    pub(super) fn hand_over(&self, successor: &UnixStream) -> io::Result<()> {
+    pub(super) fn offer_takeover(&self, successor: &UnixStream) -> io::Result<()> {
         let (None, Some(listener), Some(lock)) = (self.terminated, &self.listener, &self.lock) else {
             return Err(io::Error::other("this process is about to end"));
         };
         let now = self.clock.now();
-        let held = |(number, held): (&u64, &Held)| HeldState {
+        let held = |(number, held): (&u64, &Held)| MessageState {
             number: *number,
             attempts: held.attempts,
-            told: matches!(held.taken, Taken::On),
+            acknowledged: matches!(held.taken, Taken::On),
             waiting: held.waiting.as_ref().map(|w| (w.attempt, w.target, w.until, w.decided)),
         };
         let named = |(name, target): (&String, &TargetId)| {
@@ -93,9 +93,9 @@
             (*target, (name.clone(), address, zone, era))
         };
         let servers: BTreeMap<_, _> = self.target_ids.iter().map(named).collect();
-        let estate = Estate {
+        let estate = TakeoverState {
             now,
-            unix: self.clock.unix(now),
+            unix: self.clock.unix_micros_at(now),
             policy: self.policy.hand_over().map_err(io::Error::other)?,
             next_number: self.next_number,
             messages: self.messages.iter().map(held).collect(),
@@ -108,13 +108,13 @@
             timers: self.timers.iter().copied().collect(),
             clients: self.places.taken(),
         };
-        upgrade::offer(successor, &estate, listener, lock)
+        hot_restart::offer_takeover(successor, &estate, listener, lock)
     }
 
     /// What is left for this process to do once it has handed over; the lock and the log are the successor's.
-    pub(super) fn into_remainder(self) -> Remainder {
+    pub(super) fn into_draining_process(self) -> DrainingProcess {
         self.stage.send_replace(Stage::Succeeded);
-        Remainder {
+        DrainingProcess {
             calls: self.calls.into_iter().map(|(call, out)| (call, out.cancel)).collect(),
             figures: self.figures,
             pool: self.policy.pool(),
@@ -123,8 +123,8 @@
             clock: self.clock,
             stage: self.stage,
             places: self.places,
-            accept_on: ACCEPT_ON,
-            end_by: END_BY,
+            close_idle_after: ACCEPT_ON,
+            exit_within: END_BY,
         }
     }
 }
--- a/src/bin/foldtrack/report_client.rs
+++ b/src/bin/foldtrack/report_client.rs
@@ -91,7 +91,7 @@
         ReportClient { out: Vec::new(), kept: KeptConnection::default(), discovery }
     }
 
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.out.len() < MOST_REPORTS
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The next that are taken. All go on while this is awaited.
-    pub async fn taken(&mut self) -> Vec<u64> {
+    pub async fn acknowledged(&mut self) -> Vec<u64> {
         poll_fn(|cx| {
             for at in 0..self.out.len() {
                 if let Poll::Ready(numbers) = self.out[at].as_mut().poll(cx) {
--- a/src/bin/foldtrack/report_client_tests.rs
+++ b/src/bin/foldtrack/report_client_tests.rs
@@ -38,7 +38,7 @@
         take_all(&listener).await;
     };
     let taken = tokio::select! {
-        taken = timeout(LONG, reports.taken()) => taken,
+        taken = timeout(LONG, reports.acknowledged()) => taken,
         () = agent => unreachable!(),
     };
     assert_eq!(taken, Ok(vec![7]));
@@ -57,12 +57,12 @@
     for number in [1, 2] {
         reports.send(format!("notice {number}\n"), vec![number]);
         // One look is all it takes: nothing else runs before the agent reads it.
-        assert!(pin!(reports.taken()).poll(&mut Context::from_waker(Waker::noop())).is_pending());
+        assert!(pin!(reports.acknowledged()).poll(&mut Context::from_waker(Waker::noop())).is_pending());
         let mut heard = [0; 1024];
         let n = std::io::Read::read(&mut agent, &mut heard).expect("a notice");
         assert!(String::from_utf8_lossy(&heard[..n]).contains(&format!("notice {number}")));
         std::io::Write::write_all(&mut agent, TAKEN).unwrap();
-        assert_eq!(timeout(LONG, reports.taken()).await, Ok(vec![number]));
+        assert_eq!(timeout(LONG, reports.acknowledged()).await, Ok(vec![number]));
     }
 }
 
@@ -74,7 +74,7 @@
     let (discovery, seen) = watch::channel(old_address);
     let mut reports = ReportClient::new(seen);
     reports.send("{}\n".into(), vec![7]);
-    let mut look = || pin!(reports.taken()).poll(&mut Context::from_waker(Waker::noop())).is_pending();
+    let mut look = || pin!(reports.acknowledged()).poll(&mut Context::from_waker(Waker::noop())).is_pending();
     assert!(look());
     discovery.send_replace(new.local_addr().unwrap());
     assert!(look());
--- a/src/bin/foldtrack/tally.rs
+++ b/src/bin/foldtrack/tally.rs
@@ -1,7 +1,7 @@
 //! What the forwarder has done of late, in one line of the log a second at most: where the slots and the room
 //! are, how calls ended, and how far behind the loop and the notices are.
 
-use crate::journal::Notice;
+use crate::write_ahead_log::NonDeliveryNotice;
 use hatchline::{Micros, Outcome};
 use std::fmt::Write;
 use std::time::Duration;
@@ -114,14 +114,16 @@
     }
 
     /// A message that was taken on ends by a notice; a line on it, unless there were many of late.
-    pub fn undelivered(&mut self, id: &str, notice: Notice, attempts: u32, left: i64) -> Option<String> {
+    pub fn undelivered(
+        &mut self, id: &str, notice: NonDeliveryNotice, attempts: u32, left: i64,
+    ) -> Option<String> {
         let what = match notice {
-            Notice::GivenUp => "given up",
-            Notice::HandedBack { .. } => "handed back",
+            NonDeliveryNotice::GivenUp => "given up",
+            NonDeliveryNotice::HandedBack { .. } => "handed back",
         };
         match notice {
-            Notice::GivenUp => self.given_up += 1,
-            Notice::HandedBack { .. } => self.handed_back += 1,
+            NonDeliveryNotice::GivenUp => self.given_up += 1,
+            NonDeliveryNotice::HandedBack { .. } => self.handed_back += 1,
         }
         let few = self.given_up + self.handed_back <= UNDELIVERED_LINES;
         few.then(|| format!("message {id}: {what} after {attempts} attempts, {left} us before its time"))
@@ -201,7 +203,7 @@
     fn messages_that_end_undelivered_have_a_line_each_while_they_are_few() {
         let mut tally = Tally::default();
         let lines: Vec<_> =
-            (0..50).filter_map(|_| tally.undelivered("m1", Notice::GivenUp, 2, 3_000)).collect();
+            (0..50).filter_map(|_| tally.undelivered("m1", NonDeliveryNotice::GivenUp, 2, 3_000)).collect();
         assert_eq!(lines.len(), UNDELIVERED_LINES as usize);
         assert_eq!(lines[0], "message m1: given up after 2 attempts, 3000 us before its time");
         let quiet = Standing {
@@ -215,6 +217,6 @@
         };
         let line = tally.line(&quiet);
         assert!(line.is_some_and(|l| l.contains("given up 50")));
-        assert!(tally.undelivered("m2", Notice::HandedBack { retry_in_ms: 0 }, 0, 0).is_some());
+        assert!(tally.undelivered("m2", NonDeliveryNotice::HandedBack { retry_in_ms: 0 }, 0, 0).is_some());
     }
 }
--- a/src/bin/foldtrack/journal.rs
+++ b/src/bin/foldtrack/write_ahead_log.rs
@@ -23,66 +23,66 @@
 
 /// Whether an attempt has run, as far as its outcome tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Fate {
+pub(crate) enum ExecutionStatus {
     NeverRan,
     MayHaveRun,
 }
 
 /// The end of a message that is not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Notice {
+pub(crate) enum NonDeliveryNotice {
     GivenUp,
     HandedBack { retry_in_ms: u64 },
 }
 
 /// A message as it was taken on. Times are Unix time in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Accepted {
+pub(crate) struct AcceptedMessage {
     pub id: String,
     pub class: String,
     pub destination: u32,
-    pub key: String,
+    pub order_key: String,
     pub idempotency_key: Option<String>,
     /// What `X-Retry` said, for the operators.
-    pub retry: Option<String>,
-    pub expires: u64,
+    pub retry_header: Option<String>,
+    pub expires_at: u64,
     pub body: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Record {
-    Accepted(Accepted),
+pub(crate) enum LogRecord {
+    Accepted(AcceptedMessage),
     /// Written before the attempt's first byte.
-    Begun {
-        at: u64,
+    AttemptStarted {
+        started_at: u64,
         zone: u32,
     },
     /// Of the attempt that was out: there is never more than one.
-    Ended(Fate),
+    AttemptEnded(ExecutionStatus),
     /// Written before the notice is sent.
-    Noticed(Notice),
+    NoticeIssued(NonDeliveryNotice),
     /// Delivered, or its notice is answered.
-    Over,
+    Completed,
 }
 
 /// An attempt as the journal knows it; without a fate it was out when the process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Tried {
-    pub at: u64,
+pub(crate) struct RecordedAttempt {
+    pub started_at: u64,
     pub zone: u32,
-    pub fate: Option<Fate>,
+    pub execution: Option<ExecutionStatus>,
 }
 
 /// What a restart finds of a message.
 #[derive(Debug)]
-pub(crate) struct Restored {
-    pub accepted: Accepted,
-    pub attempts: Vec<Tried>,
-    pub notice: Option<Notice>,
+pub(crate) struct RestoredMessage {
+    pub accepted: AcceptedMessage,
+    pub attempts: Vec<RecordedAttempt>,
+    pub notice: Option<NonDeliveryNotice>,
 }
 
 #[derive(Debug)]
-pub(crate) struct Journal {
+pub(crate) struct WriteAheadLog {
     path: PathBuf,
     file: File,
     length: u64,
@@ -93,11 +93,11 @@
     reserve: u64,
 }
 
-impl Journal {
+impl WriteAheadLog {
     /// Opens the journal of a folder that may hold `room` bytes, and tells what is not over.
     pub fn open(
         folder: &Path, room: u64, max_attempts: u32,
-    ) -> io::Result<(Journal, BTreeMap<u64, Restored>)> {
+    ) -> io::Result<(WriteAheadLog, BTreeMap<u64, RestoredMessage>)> {
         let path = folder.join("journal");
         // A compaction that the process did not live to finish.
         let _ = fs::remove_file(path.with_extension("new"));
@@ -105,7 +105,7 @@
         let bytes = fs::read(&path)?;
         let reserve = ATTEMPT_BYTES * u64::from(max_attempts) + NOTICE_BYTES;
         let (live, live_bytes) = (BTreeMap::new(), 0);
-        let mut journal = Journal { path, file, length: 0, live, live_bytes, room, reserve };
+        let mut journal = WriteAheadLog { path, file, length: 0, live, live_bytes, room, reserve };
         let mut restored = BTreeMap::new();
         let mut at = 0;
         while at < bytes.len() {
@@ -139,13 +139,13 @@
 
     /// Whether a message of about this size can be taken on, with all that may have to be written of it: the
     /// live frames must fit twice, once in the old file and once in the new one of a compaction.
-    pub fn has_room(&self, size: usize) -> bool {
+    pub fn has_space_for(&self, size: usize) -> bool {
         let messages = self.live.len() as u64 + 1;
         2 * (self.live_bytes + size as u64 + messages * self.reserve) + SLACK <= self.room
     }
 
     /// Leaves so many bytes of its room to others from now on, if all that is live still fits.
-    pub fn give_up_room(&mut self, bytes: u64) -> bool {
+    pub fn release_space(&mut self, bytes: u64) -> bool {
         let room = self.room.saturating_sub(bytes);
         let live = self.live_bytes + self.live.len() as u64 * self.reserve;
         if 2 * live + SLACK > room {
@@ -158,7 +158,7 @@
         true
     }
 
-    pub fn append(&mut self, number: u64, record: &Record) -> io::Result<()> {
+    pub fn append(&mut self, number: u64, record: &LogRecord) -> io::Result<()> {
         let frame = encode(number, record)?;
         let length = self.length + frame.len() as u64;
         let full = length + self.live_bytes + frame.len() as u64 + SLACK / 2 > self.room;
@@ -175,9 +175,9 @@
         Ok(())
     }
 
-    fn keep(&mut self, number: u64, record: &Record, frame: &[u8]) {
+    fn keep(&mut self, number: u64, record: &LogRecord, frame: &[u8]) {
         match record {
-            Record::Over => {
+            LogRecord::Completed => {
                 let gone = self.live.remove(&number).map_or(0, |f| f.len());
                 self.live_bytes -= gone as u64;
             }
@@ -207,27 +207,29 @@
     }
 }
 
-fn replay(restored: &mut BTreeMap<u64, Restored>, number: u64, record: &Record) {
-    if let Record::Accepted(accepted) = record {
-        let fresh = Restored { accepted: accepted.clone(), attempts: Vec::new(), notice: None };
+fn replay(restored: &mut BTreeMap<u64, RestoredMessage>, number: u64, record: &LogRecord) {
+    if let LogRecord::Accepted(accepted) = record {
+        let fresh = RestoredMessage { accepted: accepted.clone(), attempts: Vec::new(), notice: None };
         restored.insert(number, fresh);
         return;
     }
     let Some(message) = restored.get_mut(&number) else { return };
     match record {
-        Record::Begun { at, zone } => message.attempts.push(Tried { at: *at, zone: *zone, fate: None }),
-        Record::Ended(fate) => {
-            if let Some(tried) = message.attempts.last_mut() {
-                tried.fate = Some(*fate);
+        LogRecord::AttemptStarted { started_at, zone } => {
+            message.attempts.push(RecordedAttempt { started_at: *started_at, zone: *zone, execution: None })
+        }
+        LogRecord::AttemptEnded(execution) => {
+            if let Some(attempt) = message.attempts.last_mut() {
+                attempt.execution = Some(*execution);
             }
         }
-        Record::Noticed(notice) => message.notice = Some(*notice),
-        Record::Over => drop(restored.remove(&number)),
-        Record::Accepted(_) => {}
+        LogRecord::NoticeIssued(notice) => message.notice = Some(*notice),
+        LogRecord::Completed => drop(restored.remove(&number)),
+        LogRecord::Accepted(_) => {}
     }
 }
 
-fn encode(number: u64, record: &Record) -> io::Result<Vec<u8>> {
+fn encode(number: u64, record: &LogRecord) -> io::Result<Vec<u8>> {
     let content = postcard::to_stdvec(&(number, record)).map_err(io::Error::other)?;
     if content.len() > LONGEST {
         return Err(io::Error::other("the record is too long"));
@@ -241,7 +243,7 @@
 }
 
 /// The frame at the start of these bytes, if there is a whole and sound one.
-fn decode(bytes: &[u8]) -> Option<(&[u8], u64, Record)> {
+fn decode(bytes: &[u8]) -> Option<(&[u8], u64, LogRecord)> {
     let head = bytes.get(..HEAD).filter(|h| h.starts_with(&MARK))?;
     let length = u32::from_le_bytes(head[2..6].try_into().ok()?) as usize;
     let crc = u32::from_le_bytes(head[6..10].try_into().ok()?);
@@ -257,20 +259,20 @@
 
     const ROOM: u64 = 200_000;
 
-    fn open(folder: &Path) -> (Journal, BTreeMap<u64, Restored>) {
-        Journal::open(folder, ROOM, 8).unwrap()
+    fn open(folder: &Path) -> (WriteAheadLog, BTreeMap<u64, RestoredMessage>) {
+        WriteAheadLog::open(folder, ROOM, 8).unwrap()
     }
 
-    fn accepted(body: usize) -> Record {
+    fn accepted(body: usize) -> LogRecord {
         let text = String::from("0123456789abcdef");
-        Record::Accepted(Accepted {
+        LogRecord::Accepted(AcceptedMessage {
             id: text.clone(),
             class: text.clone(),
             destination: 7,
-            key: text.clone(),
+            order_key: text.clone(),
             idempotency_key: Some(text),
-            retry: None,
-            expires: 1 << 50,
+            retry_header: None,
+            expires_at: 1 << 50,
             body: vec![7; body],
         })
     }
@@ -280,13 +282,13 @@
         let folder = tempfile::tempdir().unwrap();
         let (mut journal, _) = open(folder.path());
         let mut taken = 0;
-        while journal.has_room(200) {
+        while journal.has_space_for(200) {
             taken += 1;
             journal.append(taken, &accepted(200)).unwrap();
         }
-        assert!(!journal.give_up_room(ROOM / 2));
-        (1..=taken - 1).for_each(|number| journal.append(number, &Record::Over).unwrap());
-        assert!(journal.give_up_room(ROOM / 2));
+        assert!(!journal.release_space(ROOM / 2));
+        (1..=taken - 1).for_each(|number| journal.append(number, &LogRecord::Completed).unwrap());
+        assert!(journal.release_space(ROOM / 2));
         let on_disk = fs::metadata(&journal.path).unwrap().len();
         assert!(on_disk + journal.live_bytes <= ROOM / 2, "{on_disk} bytes");
         drop(journal);
@@ -300,26 +302,34 @@
         for body in [0, 200, 20_000] {
             let folder = tempfile::tempdir().unwrap();
             let (mut journal, _) = open(folder.path());
-            let append = |journal: &mut Journal, number: u64, record: &Record| {
+            let append = |journal: &mut WriteAheadLog, number: u64, record: &LogRecord| {
                 journal.append(number, record).unwrap();
                 let both = journal.length.next_multiple_of(512) + journal.live_bytes.next_multiple_of(512);
                 assert!(both <= ROOM, "{both} bytes during a compaction");
                 assert_eq!(journal.length, fs::metadata(&journal.path).unwrap().len());
             };
             let mut taken = 0;
-            while journal.has_room(body + 128) {
+            while journal.has_space_for(body + 128) {
                 taken += 1;
                 append(&mut journal, taken, &accepted(body));
             }
             assert!(taken > 2, "{taken} messages of {body} bytes");
             for number in 1..=taken {
                 for _ in 0..8 {
-                    append(&mut journal, number, &Record::Begun { at: 1 << 50, zone: u32::MAX });
-                    append(&mut journal, number, &Record::Ended(Fate::MayHaveRun));
+                    append(
+                        &mut journal,
+                        number,
+                        &LogRecord::AttemptStarted { started_at: 1 << 50, zone: u32::MAX },
+                    );
+                    append(&mut journal, number, &LogRecord::AttemptEnded(ExecutionStatus::MayHaveRun));
                 }
-                append(&mut journal, number, &Record::Noticed(Notice::HandedBack { retry_in_ms: u64::MAX }));
+                append(
+                    &mut journal,
+                    number,
+                    &LogRecord::NoticeIssued(NonDeliveryNotice::HandedBack { retry_in_ms: u64::MAX }),
+                );
             }
-            append(&mut journal, 1, &Record::Over);
+            append(&mut journal, 1, &LogRecord::Completed);
             drop(journal);
             let (_, restored) = open(folder.path());
             assert!(restored.keys().copied().eq(2..=taken));
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -15,7 +15,7 @@
     /// A whole list, or the entries that changed. Lists without either are not reported.
     List(ServerList),
     /// A reply that holds no list.
-    UnusableReply {
+    InvalidReply {
         /// The status of the reply.
         status: StatusCode,
         /// Why its body is no list, where it is none.
@@ -40,7 +40,7 @@
         }
         match serde_json::from_slice(&body) {
             Ok(list) if status == StatusCode::OK => Outcome::List(list),
-            other => Outcome::Unusable(DiscoveryEvent::UnusableReply { status, error: other.err() }),
+            other => Outcome::Unusable(DiscoveryEvent::InvalidReply { status, error: other.err() }),
         }
     }
 }
@@ -85,7 +85,7 @@
         loop {
             let request = match version {
                 Some(since) => ListRequest::Watch { since, wait: WATCH },
-                None => ListRequest::WholeList,
+                None => ListRequest::FullList,
             };
             let asked = Instant::now();
             match self.exchange(address, &request).await {
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -14,7 +14,7 @@
     pub full: bool,
     /// The entries. One that cannot be read is logged and left out.
     #[serde(default, deserialize_with = "readable_entries")]
-    pub servers: Vec<ServerLine>,
+    pub servers: Vec<ServerEntry>,
 }
 
 impl ServerList {
@@ -25,10 +25,10 @@
 }
 
 /// Guards the rest of a list, drains among it, against an entry that cannot be read.
-fn readable_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ServerLine>, D::Error> {
+fn readable_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ServerEntry>, D::Error> {
     let entries = Vec::<Value>::deserialize(deserializer)?;
     let read = |entry: Value| {
-        ServerLine::deserialize(&entry)
+        ServerEntry::deserialize(&entry)
             .inspect_err(|e| eprintln!("discovery: {entry} is passed over: {e}"))
             .ok()
     };
@@ -37,7 +37,7 @@
 
 /// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct ServerLine {
+pub struct ServerEntry {
     /// Its name, the same at each forwarder.
     pub id: String,
     /// Where this forwarder reaches it.
--- a/src/discovery/transport.rs
+++ b/src/discovery/transport.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
     /// The whole list, answered at once.
-    WholeList,
+    FullList,
     /// The changes since a version. The reply comes with the first change, or without one after `wait`.
     Watch {
         /// The version that the client has.
@@ -25,7 +25,7 @@
     /// Path and query of the request.
     pub fn path(&self) -> String {
         match self {
-            ListRequest::WholeList => "/v1/servers".to_string(),
+            ListRequest::FullList => "/v1/servers".to_string(),
             ListRequest::Watch { since, wait } => {
                 format!("/v1/servers?since={since}&timeout_ms={}", wait.as_millis())
             }
@@ -35,13 +35,13 @@
     /// How long discovery may hold the reply back.
     pub fn wait(&self) -> Duration {
         match self {
-            ListRequest::WholeList => Duration::ZERO,
+            ListRequest::FullList => Duration::ZERO,
             ListRequest::Watch { wait, .. } => *wait,
         }
     }
 
     /// The bytes of the request as the forwarder's HTTP library writes them. A simulation counts them.
-    pub fn wire_form(&self, address: SocketAddr) -> String {
+    pub fn wire_format(&self, address: SocketAddr) -> String {
         format!("GET {} HTTP/1.1\r\nhost: {address}\r\n\r\n", self.path())
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -88,7 +88,7 @@
 
 fn since(call: &Call) -> Option<u64> {
     match call.request {
-        ListRequest::WholeList => None,
+        ListRequest::FullList => None,
         ListRequest::Watch { since, .. } => Some(since),
     }
 }
@@ -108,7 +108,7 @@
         seen,
         [at(Some(7), FIRST), at(Some(9), FIRST), at(None, FIRST), at(Some(2), FIRST), at(None, SECOND)]
     );
-    let [DiscoveryEvent::UnusableReply { status, error: Some(_) }, DiscoveryEvent::List(list)] = &events[..]
+    let [DiscoveryEvent::InvalidReply { status, error: Some(_) }, DiscoveryEvent::List(list)] = &events[..]
     else {
         panic!("{events:?}")
     };
--- a/tests/forwarder/main.rs
+++ b/tests/forwarder/main.rs
@@ -235,10 +235,10 @@
     });
     let mut stream = listener.accept().unwrap().0;
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    for request in [ListRequest::Watch { since: 1, wait: MS(1_000) }, ListRequest::WholeList] {
-        let mut bytes = vec![0; request.wire_form(address).len()];
+    for request in [ListRequest::Watch { since: 1, wait: MS(1_000) }, ListRequest::FullList] {
+        let mut bytes = vec![0; request.wire_format(address).len()];
         stream.read_exact(&mut bytes).unwrap();
-        assert_eq!(String::from_utf8_lossy(&bytes), request.wire_form(address));
+        assert_eq!(String::from_utf8_lossy(&bytes), request.wire_format(address));
         stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").unwrap();
     }
 }
