--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -2,57 +2,57 @@
 //! and the platform.
 #![warn(missing_docs)]
 
-mod clients;
+mod admin_server;
+mod admission;
+mod calls;
+mod client_server;
 mod clock;
 mod config;
 mod connection;
+mod connection_limit;
+mod disabled_endpoints;
 mod discovery_client;
-mod door;
+mod draining;
+mod endpoint_list_cache;
 mod events;
-mod figures;
-mod journal;
-mod last_list;
+mod hot_restart;
+mod interval_stats;
 mod message;
+mod metrics;
 mod node;
-mod out;
-mod places;
-mod relay;
+mod overload;
 mod report_client;
-mod strain;
 mod streams;
-mod tally;
-mod targets;
-mod turnstile;
-mod upgrade;
+mod write_ahead_log;
 
 use config::Config;
-use events::Input;
-use relay::Rest;
+use draining::ExitReason;
+use events::NodeEvent;
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 use tokio::signal::unix::{signal, SignalKind};
 
-async fn run(config: Config) -> Result<Rest, String> {
-    let (inputs, receiver) = events::channel();
+async fn run(config: Config) -> Result<ExitReason, String> {
+    let (events, receiver) = events::channel();
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = inputs.clone();
+    let to_node = events.clone();
     tokio::spawn(async move {
         while terminate.recv().await.is_some() {
-            to_node.send(Input::Terminate);
+            to_node.send(NodeEvent::Terminate);
         }
     });
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = inputs.clone();
+    let to_node = events.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
-            match Config::discovery_now() {
-                Ok(address) => to_node.send(Input::Discovery(address)),
+            match Config::reload_discovery_address() {
+                Ok(address) => to_node.send(NodeEvent::DiscoveryAddress(address)),
                 Err(error) => eprintln!("foldtrack: discovery stays where it is: {error}"),
             }
         }
     });
-    let (listen, state) = (config.listen, config.state.clone());
-    let end = node::run(config, inputs, receiver).await;
+    let (listen, state) = (config.listen_address, config.state_directory.clone());
+    let end = node::run(config, events, receiver).await;
     end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
@@ -79,8 +79,8 @@
         runtime.map_err(|e| e.to_string())?.block_on(run(config))
     });
     match end {
-        Ok(Rest::Done) => ExitCode::SUCCESS,
-        Ok(Rest::Orphaned) => start_anew(),
+        Ok(ExitReason::Completed) => ExitCode::SUCCESS,
+        Ok(ExitReason::SuccessorLost) => start_anew(),
         Err(error) => {
             eprintln!("foldtrack: {error}");
             ExitCode::FAILURE
--- a/tests/forwarder/main.rs
+++ b/tests/forwarder/main.rs
@@ -250,10 +250,10 @@
     });
     let mut stream = listener.accept().unwrap().0;
     stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-    for request in [ListRequest::Watch { since: 1, wait: MILLIS(1_000) }, ListRequest::WholeList] {
-        let mut bytes = vec![0; request.wire_form(address).len()];
+    for request in [ListRequest::Watch { since: 1, wait: MILLIS(1_000) }, ListRequest::FullList] {
+        let mut bytes = vec![0; request.wire_format(address).len()];
         stream.read_exact(&mut bytes).unwrap();
-        assert_eq!(String::from_utf8_lossy(&bytes), request.wire_form(address));
+        assert_eq!(String::from_utf8_lossy(&bytes), request.wire_format(address));
         stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").unwrap();
     }
 }
