--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A forwarder in small: it feeds a module, carries out its timers and checks every action against the rules.
+//! A test harness that runs a delivery policy in simulated time, executes its actions and checks each of them against
+//! the delivery rules.
 #![allow(dead_code)]
 
 pub mod steps;
@@ -7,62 +8,79 @@
 use hatchline::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const MS: u64 = 1000;
-pub const S: u64 = 1_000_000;
+/// One millisecond in microseconds, the unit of all times here.
+pub const MILLISECOND: u64 = 1000;
+/// One second in microseconds.
+pub const SECOND: u64 = 1_000_000;
 
-/// An attempt as the field sees it.
+/// One attempt of a message, as the harness records it.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct Attempt {
     pub target: TargetId,
-    pub at: u64,
-    pub until: u64,
+    pub sent_at: u64,
+    pub times_out_at: u64,
+    /// Absent while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
+/// A submitted message with all its attempts.
 #[derive(Clone, Debug)]
-pub struct Mail {
+pub struct TestMessage {
     pub class: usize,
     pub destination: DestinationId,
-    pub key: u64,
+    pub order_key: u64,
+    /// No attempt may run past this time.
     pub expires: u64,
-    pub sent: Vec<Sent>,
-    /// Answered by the module or served.
-    pub over: Option<u64>,
-    pub served: bool,
+    pub attempts: Vec<Attempt>,
+    /// When it was delivered, refused or failed by the policy, or withdrawn by the client.
+    pub ended_at: Option<u64>,
+    pub delivered: bool,
     pub refused: bool,
 }
 
-pub struct Field {
+/// A delivery policy together with the state that its actions are checked against.
+pub struct PolicyHarness {
     pub now: u64,
     pub settings: Settings,
     pub policy: DeliveryPolicy,
-    pub mail: BTreeMap<MessageId, Mail>,
-    pub order: BTreeMap<u64, Vec<MessageId>>,
-    pub rests: BTreeMap<u64, u64>,
+    pub messages: BTreeMap<MessageId, TestMessage>,
+    /// Messages of each order key, in the order in which they were submitted.
+    pub ids_by_order_key: BTreeMap<u64, Vec<MessageId>>,
+    /// When the pause of an order key after an attempt with an uncertain end is over.
+    pub order_pause_ends: BTreeMap<u64, u64>,
     pub endpoints: BTreeMap<TargetId, Endpoint>,
-    pub stopped: BTreeMap<TargetId, u64>,
-    pub waits: BTreeMap<(DestinationId, TargetId), u64>,
+    /// Since when an endpoint has been draining or gone.
+    pub leaving_since: BTreeMap<TargetId, u64>,
+    /// When the retry-after time of a route ends; target 0 stands for the route that all endpoints of a destination share.
+    pub retry_after_ends: BTreeMap<(DestinationId, TargetId), u64>,
+    /// Due time and token.
     pub timers: BTreeSet<(u64, u32)>,
+    /// All actions, each with its time.
     pub trace: Vec<(u64, Action)>,
-    pub broken: Vec<String>,
-    called_off: Vec<(MessageId, usize)>,
+    /// Descriptions of all broken rules.
+    pub violations: Vec<String>,
+    /// Attempts that the policy has cancelled; they end with the next tick.
+    pending_cancels: Vec<(MessageId, usize)>,
+    /// Messages that the clients have withdrawn.
     withdrawn: BTreeSet<MessageId>,
-    next: MessageId,
-    list: u32,
+    next_id: MessageId,
+    list_version: u32,
 }
 
+/// A class of message with the timing that most tests use.
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: 2 * S,
-        deadline: 20 * S,
+        aim: 2 * SECOND,
+        deadline: 20 * SECOND,
         worth: 1.0,
         late_value: 0.5,
         effect,
-        window: 10 * S,
+        window: 10 * SECOND,
         ..Class::default()
     }
 }
 
+/// The settings that most tests use: one replica of two, with shared routes and no batches.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         senders: 2,
@@ -72,20 +90,20 @@
         may_cancel: true,
         classes,
         rules: Rules {
-            drain_grace: S,
+            drain_grace: SECOND,
             cold_from: 0.2,
-            ramp_time: 10 * S,
+            ramp_time: 10 * SECOND,
             tip_multiple: 2.5,
-            tip_after: 1500 * MS,
-            order_pause: 100 * MS,
-            ask_within: 10 * S,
+            tip_after: 1500 * MILLISECOND,
+            order_pause: 100 * MILLISECOND,
+            ask_within: 10 * SECOND,
         },
         batch: vec![1],
         routes_apart: vec![false],
-        connection_idle: 15 * S,
-        connect_timeout: S,
+        connection_idle: 15 * SECOND,
+        connect_timeout: SECOND,
         streams_per_connection: 8,
-        tick: 5 * MS,
+        tick: 5 * MILLISECOND,
         ..Settings::default()
     }
 }
@@ -94,274 +112,306 @@
     Endpoint { target, destination, ..Endpoint::default() }
 }
 
-impl Field {
+impl PolicyHarness {
+    /// Starts a policy and passes it the full list of endpoints.
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
-        let now = 5 * S;
-        let mut field = Field {
+        let now = 5 * SECOND;
+        let mut harness = PolicyHarness {
             now,
             policy: DeliveryPolicy::new(now, 7, settings.clone()),
             settings,
-            mail: BTreeMap::new(),
-            order: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            messages: BTreeMap::new(),
+            ids_by_order_key: BTreeMap::new(),
+            order_pause_ends: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            stopped: BTreeMap::new(),
-            waits: BTreeMap::new(),
+            leaving_since: BTreeMap::new(),
+            retry_after_ends: BTreeMap::new(),
             timers: BTreeSet::new(),
             trace: Vec::new(),
-            broken: Vec::new(),
-            called_off: Vec::new(),
+            violations: Vec::new(),
+            pending_cancels: Vec::new(),
             withdrawn: BTreeSet::new(),
-            next: 1,
-            list: 0,
+            next_id: 1,
+            list_version: 0,
         };
-        field.list(ListKind::Full, endpoints);
-        field
+        harness.update_list(ListKind::Full, endpoints);
+        harness
     }
 
-    pub fn list(&mut self, kind: ListKind, lines: Vec<Endpoint>) {
+    /// Applies a list of the next version and passes it to the policy.
+    pub fn update_list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
         if kind == ListKind::Full {
-            let named: BTreeSet<_> = lines.iter().map(|e| e.target).collect();
-            let lacking: Vec<_> = self.endpoints.keys().filter(|t| !named.contains(t)).copied().collect();
-            for t in lacking {
-                self.stopped.entry(t).or_insert(self.now);
+            let listed: BTreeSet<_> = endpoints.iter().map(|endpoint| endpoint.target).collect();
+            let missing: Vec<_> =
+                self.endpoints.keys().filter(|target| !listed.contains(target)).copied().collect();
+            for target in missing {
+                self.leaving_since.entry(target).or_insert(self.now);
             }
         }
-        for e in &lines {
-            match e.state {
-                EndpointState::Ready => drop(self.stopped.remove(&e.target)),
-                _ => drop(self.stopped.entry(e.target).or_insert(self.now)),
+        for endpoint in &endpoints {
+            match endpoint.state {
+                EndpointState::Ready => drop(self.leaving_since.remove(&endpoint.target)),
+                _ => drop(self.leaving_since.entry(endpoint.target).or_insert(self.now)),
             }
-            self.endpoints.insert(e.target, e.clone());
+            self.endpoints.insert(endpoint.target, endpoint.clone());
         }
-        self.list += 1;
-        self.feed(Event::List { kind, version: self.list, endpoints: lines });
+        self.list_version += 1;
+        self.process(Event::List { kind, version: self.list_version, endpoints });
     }
 
-    pub fn request(&mut self, class: usize, destination: DestinationId, key: u64) -> MessageId {
-        let id = self.next;
-        self.next += 1;
+    /// Submits a message. The order key counts only for classes that are delivered in order.
+    pub fn submit(&mut self, class: usize, destination: DestinationId, order_key: u64) -> MessageId {
+        let id = self.next_id;
+        self.next_id += 1;
         let expires = self.now + self.settings.classes[class].deadline;
-        let key = if self.settings.classes[class].in_order { key } else { 0 };
-        let mail = Mail {
+        let order_key = if self.settings.classes[class].in_order { order_key } else { 0 };
+        let message = TestMessage {
             class,
             destination,
-            key,
+            order_key,
             expires,
-            sent: vec![],
-            over: None,
-            served: false,
+            attempts: vec![],
+            ended_at: None,
+            delivered: false,
             refused: false,
         };
-        self.mail.insert(id, mail);
-        if key != 0 {
-            self.order.entry(key).or_default().push(id);
+        self.messages.insert(id, message);
+        if order_key != 0 {
+            self.ids_by_order_key.entry(order_key).or_default().push(id);
         }
-        self.feed(Event::Request { id, class: class as u32, destination, order_key: key, expires });
+        self.process(Event::Request { id, class: class as u32, destination, order_key, expires });
         id
     }
 
-    pub fn out(&self) -> Vec<(MessageId, usize, Sent)> {
-        let all =
-            self.mail.iter().flat_map(|(id, m)| m.sent.iter().enumerate().map(|(n, a)| (*id, n, a.clone())));
-        all.filter(|(_, _, a)| a.outcome.is_none()).collect()
+    /// Attempts without an outcome: message, index of the attempt, attempt.
+    pub fn attempts_in_flight(&self) -> Vec<(MessageId, usize, Attempt)> {
+        let all = self.messages.iter().flat_map(|(id, message)| {
+            message.attempts.iter().enumerate().map(|(index, attempt)| (*id, index, attempt.clone()))
+        });
+        all.filter(|(_, _, attempt)| attempt.outcome.is_none()).collect()
     }
 
-    pub fn end(&mut self, id: MessageId, attempt: usize, outcome: Outcome, wait: u64) {
+    /// Ends an attempt; `wait` is the retry-after time of the response, 0 for none.
+    pub fn end_attempt(&mut self, id: MessageId, index: usize, outcome: Outcome, wait: u64) {
         let now = self.now;
-        let Some(m) = self.mail.get_mut(&id) else { return };
-        let a = &mut m.sent[attempt];
-        a.outcome = Some(outcome);
-        let (target, took) = (a.target, now - a.at);
-        if outcome == Outcome::Ok && m.over.is_none() {
-            (m.over, m.served) = (Some(now), true);
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let ended_attempt = &mut message.attempts[index];
+        ended_attempt.outcome = Some(outcome);
+        let (target, took) = (ended_attempt.target, now - ended_attempt.sent_at);
+        if outcome == Outcome::Ok && message.ended_at.is_none() {
+            (message.ended_at, message.delivered) = (Some(now), true);
         }
-        let ended = m.over.is_some();
-        let (destination, key) = (m.destination, m.key);
+        let ended = message.ended_at.is_some();
+        let (destination, order_key) = (message.destination, message.order_key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.rests.insert(key, now + self.settings.rules.order_pause);
+            self.order_pause_ends.insert(order_key, now + self.settings.rules.order_pause);
         }
         if wait > 0 {
-            let route = if self.apart(target) { target } else { 0 };
-            let until = self.waits.entry((destination, route)).or_default();
-            *until = (*until).max(now + wait);
+            let route = if self.has_own_route(target) { target } else { 0 };
+            let end = self.retry_after_ends.entry((destination, route)).or_default();
+            *end = (*end).max(now + wait);
         }
-        let attempt = attempt as u32;
-        self.feed(Event::Outcome { id, attempt, target, outcome, took, ended, wait, report: None });
+        let attempt = index as u32;
+        self.process(Event::Outcome { id, attempt, target, outcome, took, ended, wait, report: None });
     }
 
-    /// The client has withdrawn the message, unknown to the module: a call with it ends as not sent.
+    /// The client withdraws the message without the policy being notified: a call that carries it ends as not sent.
     pub fn withdraw(&mut self, id: MessageId) {
         let now = self.now;
-        self.mail.entry(id).and_modify(|m| m.over = Some(now));
+        self.messages.entry(id).and_modify(|message| message.ended_at = Some(now));
         self.withdrawn.insert(id);
     }
 
-    fn apart(&self, target: TargetId) -> bool {
+    /// Whether the endpoint is a route of its own rather than sharing that of its destination.
+    fn has_own_route(&self, target: TargetId) -> bool {
         let kind = self.endpoints[&target].kind as usize;
         self.settings.routes_apart.get(kind).copied().unwrap_or(false)
     }
 
-    /// Passes one event in, lets the module decide, and carries out and checks what it says.
-    pub fn feed(&mut self, event: Event) {
+    /// Passes one event to the policy, lets it decide, and checks and executes the resulting actions.
+    pub fn process(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         self.policy.decide(self.now, &mut actions);
         for action in actions {
             self.trace.push((self.now, action.clone()));
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { id, target, until } => self.send(id, target, until),
+            Action::Send { id, target, until } => self.start_attempt(id, target, until),
             Action::Refuse { id, .. } | Action::Fail { id } => {
                 let refuse = matches!(action, Action::Refuse { .. });
-                let m = self.mail.get(&id).cloned().unwrap();
-                if m.over.is_some() && !self.withdrawn.contains(&id) {
-                    self.broken.push(format!("message {id} ended twice"));
+                let message = self.messages.get(&id).cloned().unwrap();
+                if message.ended_at.is_some() && !self.withdrawn.contains(&id) {
+                    self.violations.push(format!("message {id} ended twice"));
                 }
-                if self.now > m.expires + 20 * MS {
-                    self.broken.push(format!("message {id} ended too late"));
+                if self.now > message.expires + 20 * MILLISECOND {
+                    self.violations.push(format!("message {id} ended too late"));
                 }
-                let ran = m.sent.iter().any(may_have_run);
-                let class = &self.settings.classes[m.class];
-                let keyed_all = class.effect == Effect::Keyed && class.group == Group::All;
-                if refuse && ran && class.effect != Effect::Repeatable && !keyed_all {
-                    self.broken.push(format!("message {id} refused though it may have run"));
+                let possibly_run = message.attempts.iter().any(may_have_run);
+                let class = &self.settings.classes[message.class];
+                let all_drop_repeats = class.effect == Effect::Keyed && class.group == Group::All;
+                if refuse && possibly_run && class.effect != Effect::Repeatable && !all_drop_repeats {
+                    self.violations.push(format!("message {id} refused though it may have run"));
                 }
-                let m = self.mail.get_mut(&id).unwrap();
-                (m.over, m.refused) = (Some(self.now), refuse);
+                let message = self.messages.get_mut(&id).unwrap();
+                (message.ended_at, message.refused) = (Some(self.now), refuse);
             }
             Action::Timer { after, token } => drop(self.timers.insert((self.now + after.max(1), token))),
-            Action::Cancel { id, attempt } => match self.mail[&id].sent.get(attempt as usize) {
-                Some(a) if a.outcome.is_none() => self.called_off.push((id, attempt as usize)),
+            Action::Cancel { id, attempt } => match self.messages[&id].attempts.get(attempt as usize) {
+                Some(cancelled) if cancelled.outcome.is_none() => {
+                    self.pending_cancels.push((id, attempt as usize))
+                }
                 Some(_) => {}
-                None => self.broken.push(format!("attempt {attempt} of message {id} called off unmade")),
+                None => self
+                    .violations
+                    .push(format!("attempt {attempt} of message {id} cancelled but never made")),
             },
             _ => {}
         }
     }
 
-    fn send(&mut self, id: MessageId, target: TargetId, until: u64) {
-        let m = self.mail.get(&id).cloned().unwrap();
-        let class = self.settings.classes[m.class].clone();
-        let e = self.endpoints[&target].clone();
+    /// Checks an attempt against the rules and records it.
+    fn start_attempt(&mut self, id: MessageId, target: TargetId, times_out_at: u64) {
+        let message = self.messages.get(&id).cloned().unwrap();
+        let class = self.settings.classes[message.class].clone();
+        let endpoint = self.endpoints[&target].clone();
         if self.withdrawn.contains(&id) {
-            // That may be found out once: the answer says that the message is over.
-            let attempt = Sent { target, at: self.now, until, outcome: None };
-            return self.mail.entry(id).or_insert(m).sent.push(attempt);
+            // The policy learns of the withdrawal by this attempt, whose outcome says that the message has ended.
+            let attempt = Attempt { target, sent_at: self.now, times_out_at, outcome: None };
+            return self.messages.entry(id).or_insert(message).attempts.push(attempt);
         }
-        let mut broken = |text: &str| self.broken.push(format!("at {}: message {id}: {text}", self.now));
-        if m.over.is_some() {
-            broken("sent after its end");
+        let mut report_violation =
+            |text: &str| self.violations.push(format!("at {}: message {id}: {text}", self.now));
+        if message.ended_at.is_some() {
+            report_violation("sent after it had ended");
         }
-        if until > m.expires || self.now >= m.expires {
-            broken("sent past its time");
+        if times_out_at > message.expires || self.now >= message.expires {
+            report_violation("sent past its deadline");
         }
-        if e.destination != m.destination {
-            broken("sent to another destination");
+        if endpoint.destination != message.destination {
+            report_violation("sent to another destination");
         }
-        if m.sent.iter().any(|a| a.outcome.is_none()) {
-            broken("two attempts at once");
+        if message.attempts.iter().any(|attempt| attempt.outcome.is_none()) {
+            report_violation("two attempts at once");
         }
-        if m.sent.len() >= self.settings.max_attempts as usize {
-            broken("too many attempts");
+        if message.attempts.len() >= self.settings.max_attempts as usize {
+            report_violation("too many attempts");
         }
-        let ran: Vec<_> = m.sent.iter().filter(|a| may_have_run(a)).collect();
-        match (class.effect, ran.first()) {
-            (Effect::Unsafe, Some(_)) => broken("an unsafe message that may have run was repeated"),
+        let possibly_run: Vec<_> = message.attempts.iter().filter(|attempt| may_have_run(attempt)).collect();
+        match (class.effect, possibly_run.first()) {
+            (Effect::Unsafe, Some(_)) => report_violation("an unsafe message that may have run was repeated"),
             (Effect::Keyed, Some(first)) => {
-                if self.now > first.at + class.window {
-                    broken("repeated outside its window");
+                if self.now > first.sent_at + class.window {
+                    report_violation("repeated outside its deduplication window");
                 }
-                if class.group == Group::Zone && self.endpoints[&first.target].zone != e.zone {
-                    broken("repeated outside its group");
+                if class.group == Group::Zone && self.endpoints[&first.target].zone != endpoint.zone {
+                    report_violation("repeated outside the zone of its first attempt");
                 }
             }
             _ => {}
         }
-        if self.stopped.get(&target).is_some_and(|t| self.now > t + self.settings.rules.drain_grace) {
-            broken("sent to a drained endpoint after the grace");
+        if self
+            .leaving_since
+            .get(&target)
+            .is_some_and(|since| self.now > since + self.settings.rules.drain_grace)
+        {
+            report_violation("sent to a draining or removed endpoint after the grace period");
         }
-        let route = if self.apart(target) { target } else { 0 };
-        if self.waits.get(&(m.destination, route)).is_some_and(|t| self.now < *t) {
-            self.broken.push(format!("at {}: message {id}: sent in a wait", self.now));
+        let route = if self.has_own_route(target) { target } else { 0 };
+        if self.retry_after_ends.get(&(message.destination, route)).is_some_and(|end| self.now < *end) {
+            self.violations.push(format!("at {}: message {id}: sent before its Retry-After time", self.now));
         }
-        if m.key != 0 {
-            let line = &self.order[&m.key];
-            let earlier = line.iter().take_while(|x| **x != id).map(|x| &self.mail[x]);
-            let open = |m: &Mail| m.over.is_none() || m.sent.iter().any(|a| a.outcome.is_none());
-            if earlier.clone().any(open) {
-                self.broken.push(format!("at {}: message {id}: sent out of turn", self.now));
+        if message.order_key != 0 {
+            let ids = &self.ids_by_order_key[&message.order_key];
+            let earlier = ids.iter().take_while(|other| **other != id).map(|other| &self.messages[other]);
+            let is_open = |message: &TestMessage| {
+                message.ended_at.is_none() || message.attempts.iter().any(|attempt| attempt.outcome.is_none())
+            };
+            if earlier.clone().any(is_open) {
+                self.violations.push(format!(
+                    "at {}: message {id}: sent before an earlier message of its order key had ended",
+                    self.now
+                ));
             }
-            let rests = self.rests.get(&m.key).is_some_and(|t| self.now < *t);
-            if rests && m.sent.is_empty() {
-                self.broken.push(format!("at {}: message {id}: sent while its key rests", self.now));
+            let is_paused = self.order_pause_ends.get(&message.order_key).is_some_and(|end| self.now < *end);
+            if is_paused && message.attempts.is_empty() {
+                self.violations
+                    .push(format!("at {}: message {id}: sent within the pause of its order key", self.now));
             }
         }
-        let sent = Sent { target, at: self.now, until, outcome: None };
-        self.mail.get_mut(&id).unwrap().sent.push(sent);
+        let attempt = Attempt { target, sent_at: self.now, times_out_at, outcome: None };
+        self.messages.get_mut(&id).unwrap().attempts.push(attempt);
         if self.settings.batch.iter().all(|b| *b == 1) {
-            let out = self.out();
-            let here = out.iter().filter(|(x, _, _)| self.mail[x].destination == m.destination).count();
-            if out.len() > self.settings.slots as usize {
-                self.broken.push(format!("at {}: {} calls out", self.now, out.len()));
+            let in_flight = self.attempts_in_flight();
+            let to_destination = in_flight
+                .iter()
+                .filter(|(other, _, _)| self.messages[other].destination == message.destination)
+                .count();
+            if in_flight.len() > self.settings.slots as usize {
+                self.violations.push(format!("at {}: {} calls in flight", self.now, in_flight.len()));
             }
-            if here as f64 > (f64::from(self.settings.slots) * 0.75).max(1.0) {
-                self.broken.push(format!("at {}: {here} calls out to one destination", self.now));
+            if to_destination as f64 > (f64::from(self.settings.slots) * 0.75).max(1.0) {
+                self.violations
+                    .push(format!("at {}: {to_destination} calls in flight to one destination", self.now));
             }
         }
     }
 
-    /// Lets time pass in ticks; `answer` says how an attempt ends, or nothing yet.
-    pub fn run(
-        &mut self, span: u64, mut answer: impl FnMut(u64, MessageId, &Sent) -> Option<(Outcome, u64)>,
+    /// Advances time in ticks. `respond` gives the outcome of an attempt and its retry-after time, or none while the
+    /// call is in flight.
+    pub fn advance(
+        &mut self, span: u64, mut respond: impl FnMut(u64, MessageId, &Attempt) -> Option<(Outcome, u64)>,
     ) {
         let end = self.now + span;
         while self.now < end {
             self.now += self.settings.tick;
-            for (id, n) in std::mem::take(&mut self.called_off) {
-                if self.mail[&id].sent[n].outcome.is_none() {
-                    self.end(id, n, Outcome::Cancelled, 0);
+            for (id, index) in std::mem::take(&mut self.pending_cancels) {
+                if self.messages[&id].attempts[index].outcome.is_none() {
+                    self.end_attempt(id, index, Outcome::Cancelled, 0);
                 }
             }
-            for (id, n, a) in self.out() {
+            for (id, index, attempt) in self.attempts_in_flight() {
                 if self.withdrawn.contains(&id) {
-                    self.end(id, n, Outcome::NotSent, 0);
-                } else if let Some((outcome, wait)) = answer(self.now, id, &a) {
-                    self.end(id, n, outcome, wait);
-                } else if self.now >= a.until {
-                    self.end(id, n, Outcome::TimedOut, 0);
+                    self.end_attempt(id, index, Outcome::NotSent, 0);
+                } else if let Some((outcome, wait)) = respond(self.now, id, &attempt) {
+                    self.end_attempt(id, index, outcome, wait);
+                } else if self.now >= attempt.times_out_at {
+                    self.end_attempt(id, index, Outcome::TimedOut, 0);
                 }
             }
             while let Some((at, token)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
                 self.timers.remove(&(at, token));
-                self.feed(Event::Timer { token });
+                self.process(Event::Timer { token });
             }
         }
     }
 
-    pub fn sends(&self) -> usize {
-        self.mail.values().map(|m| m.sent.len()).sum()
+    /// Number of attempts made so far.
+    pub fn attempt_count(&self) -> usize {
+        self.messages.values().map(|message| message.attempts.len()).sum()
     }
 
-    pub fn kept(&self) {
-        assert!(self.broken.is_empty(), "{:#?}", &self.broken[..self.broken.len().min(5)]);
+    /// Fails the test if a rule was broken.
+    pub fn assert_no_violations(&self) {
+        assert!(self.violations.is_empty(), "{:#?}", &self.violations[..self.violations.len().min(5)]);
     }
 }
 
-pub fn may_have_run(a: &Sent) -> bool {
-    !matches!(a.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
+/// Whether the attempt may have taken effect at the destination.
+pub fn may_have_run(attempt: &Attempt) -> bool {
+    !matches!(attempt.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
-/// Every attempt is served after `took`.
-pub fn serves(took: u64) -> impl FnMut(u64, MessageId, &Sent) -> Option<(Outcome, u64)> {
-    move |now, _, a| (now >= a.at + took).then_some((Outcome::Ok, 0))
+/// Delivers every attempt after `latency`.
+pub fn responds_after(latency: u64) -> impl FnMut(u64, MessageId, &Attempt) -> Option<(Outcome, u64)> {
+    move |now, _, attempt| (now >= attempt.sent_at + latency).then_some((Outcome::Ok, 0))
 }
 
-/// No attempt is ever answered.
-pub fn silent(_: u64, _: MessageId, _: &Sent) -> Option<(Outcome, u64)> {
+/// Never responds to an attempt.
+pub fn never_responds(_: u64, _: MessageId, _: &Attempt) -> Option<(Outcome, u64)> {
     None
 }
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -1,60 +1,88 @@
-//! Random but seeded sequences of legal events, and their play on a field.
+//! Random but seeded sequences of valid events, run on a harness.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
+/// One step of a random sequence.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Request { class: usize, destination: u32, key: u64 },
-    End { which: usize, outcome: u8, wait: u64 },
-    State { target: u32, state: u8 },
-    Whole { skip: u32 },
-    Pass { span: u64 },
+    Submit {
+        class: usize,
+        destination: u32,
+        order_key: u64,
+    },
+    /// Ends one of the attempts in flight, if there are any.
+    EndAttempt {
+        which: usize,
+        outcome: u8,
+        wait: u64,
+    },
+    /// Delivers an update of the list with the new state of one endpoint.
+    SetState {
+        target: u32,
+        state: u8,
+    },
+    /// Delivers the full list without one endpoint; a number that no endpoint has leaves it complete.
+    FullList {
+        omitted: u32,
+    },
+    Advance {
+        span: u64,
+    },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..5usize, 1..4u32, 1..4u64).prop_map(|(class, destination, key)| Step::Request { class, destination, key }),
-        8 => (0..40usize, 0..12u8, 0..3u64).prop_map(|(which, outcome, wait)| Step::End { which, outcome, wait }),
-        1 => (1..8u32, 0..3u8).prop_map(|(target, state)| Step::State { target, state }),
-        1 => (0..9u32).prop_map(|skip| Step::Whole { skip }),
-        6 => (5..900u64).prop_map(|ms| Step::Pass { span: ms * MS }),
+        6 => (0..5usize, 1..4u32, 1..4u64).prop_map(|(class, destination, order_key)| Step::Submit { class, destination, order_key }),
+        8 => (0..40usize, 0..12u8, 0..3u64).prop_map(|(which, outcome, wait)| Step::EndAttempt { which, outcome, wait }),
+        1 => (1..8u32, 0..3u8).prop_map(|(target, state)| Step::SetState { target, state }),
+        1 => (0..9u32).prop_map(|omitted| Step::FullList { omitted }),
+        6 => (5..900u64).prop_map(|ms| Step::Advance { span: ms * MILLISECOND }),
     ]
 }
 
-fn lines() -> Vec<Endpoint> {
-    let line =
+fn listed_endpoints() -> Vec<Endpoint> {
+    let endpoint =
         |target, destination, kind, zone| Endpoint { target, destination, kind, zone, ..Endpoint::default() };
     vec![
-        line(1, 1, 0, 0),
-        line(2, 1, 0, 1),
-        line(3, 2, 1, 0),
-        line(4, 2, 1, 1),
-        line(5, 3, 0, 0),
-        line(6, 3, 0, 1),
-        line(7, 3, 0, 0),
+        endpoint(1, 1, 0, 0),
+        endpoint(2, 1, 0, 1),
+        endpoint(3, 2, 1, 0),
+        endpoint(4, 2, 1, 1),
+        endpoint(5, 3, 0, 0),
+        endpoint(6, 3, 0, 1),
+        endpoint(7, 3, 0, 0),
     ]
 }
 
-pub fn play(steps: &[Step], batch: u32) -> Field {
-    let mut zone = class(Effect::Keyed);
-    zone.group = Group::Zone;
+/// Runs the steps, and then until all messages have ended.
+pub fn run_steps(steps: &[Step], batch_size: u32) -> PolicyHarness {
+    let mut zone_scoped = class(Effect::Keyed);
+    zone_scoped.group = Group::Zone;
     let mut ordered = class(Effect::Keyed);
     ordered.in_order = true;
-    let mut turns = class(Effect::Unsafe);
-    turns.in_order = true;
-    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe), zone, ordered, turns]);
-    s.batch = vec![batch, 1];
-    s.routes_apart = vec![false, true];
-    s.zone_fee = vec![0.05, 0.0];
-    let mut field = Field::new(s, lines());
+    let mut ordered_unsafe = class(Effect::Unsafe);
+    ordered_unsafe.in_order = true;
+    let mut settings = settings(vec![
+        class(Effect::Repeatable),
+        class(Effect::Unsafe),
+        zone_scoped,
+        ordered,
+        ordered_unsafe,
+    ]);
+    settings.batch = vec![batch_size, 1];
+    settings.routes_apart = vec![false, true];
+    settings.zone_fee = vec![0.05, 0.0];
+    let mut harness = PolicyHarness::new(settings, listed_endpoints());
     for step in steps {
         match step {
-            Step::Request { class, destination, key } => drop(field.request(*class, *destination, *key)),
-            Step::End { which, outcome, wait } => {
-                let out = field.out();
-                if let Some((id, n, _)) = out.get(which % out.len().max(1)) {
+            Step::Submit { class, destination, order_key } => {
+                drop(harness.submit(*class, *destination, *order_key))
+            }
+            Step::EndAttempt { which, outcome, wait } => {
+                let in_flight = harness.attempts_in_flight();
+                if let Some((id, index, _)) = in_flight.get(which % in_flight.len().max(1)) {
                     let outcomes = [
                         Outcome::Error,
                         Outcome::Full,
@@ -63,35 +91,39 @@
                         Outcome::NotSent,
                     ];
                     let outcome = outcomes.get(usize::from(*outcome)).copied().unwrap_or(Outcome::Ok);
-                    let wait = if outcome == Outcome::Full { wait * 700 * MS } else { 0 };
-                    field.end(*id, *n, outcome, wait);
+                    let wait = if outcome == Outcome::Full { wait * 700 * MILLISECOND } else { 0 };
+                    harness.end_attempt(*id, *index, outcome, wait);
                 }
             }
-            Step::State { target, state } => {
+            Step::SetState { target, state } => {
                 let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
-                let line = lines().into_iter().find(|e| e.target == *target).unwrap();
-                let line = Endpoint { state: states[usize::from(*state)], ..line };
-                field.list(ListKind::Delta, vec![line]);
+                let listed =
+                    listed_endpoints().into_iter().find(|endpoint| endpoint.target == *target).unwrap();
+                let changed = Endpoint { state: states[usize::from(*state)], ..listed };
+                harness.update_list(ListKind::Delta, vec![changed]);
             }
-            Step::Whole { skip } => {
-                field.list(ListKind::Full, lines().into_iter().filter(|e| e.target != *skip).collect());
+            Step::FullList { omitted } => {
+                harness.update_list(
+                    ListKind::Full,
+                    listed_endpoints().into_iter().filter(|endpoint| endpoint.target != *omitted).collect(),
+                );
             }
-            Step::Pass { span } => field.run(*span, silent),
+            Step::Advance { span } => harness.advance(*span, never_responds),
         }
     }
-    field.run(22 * S, silent);
-    field
+    harness.advance(22 * SECOND, never_responds);
+    harness
 }
 
-/// A fixed number of cases from a fixed seed: the same verdict every time.
-pub fn cases(count: u32, test: impl Fn(Vec<Step>, u32)) {
+/// Runs the test with a fixed number of sequences from a fixed seed, so that its result is reproducible.
+pub fn run_cases(count: u32, test: impl Fn(Vec<Step>, u32)) {
     let config = Config { cases: count, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let input = (proptest::collection::vec(step(), 20..120), prop_oneof![Just(1u32), Just(4u32)]);
-    let result = runner.run(&input, |(steps, batch)| {
-        test(steps, batch);
+    let input = (proptest::collection::vec(any_step(), 20..120), prop_oneof![Just(1u32), Just(4u32)]);
+    let result = runner.run(&input, |(steps, batch_size)| {
+        test(steps, batch_size);
         Ok(())
     });
-    result.unwrap_or_else(|e| panic!("{e}"));
+    result.unwrap_or_else(|error| panic!("{error}"));
 }
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -1,53 +1,56 @@
-//! Longer seeded runs over many destinations: traffic that comes and goes, limits, refusals, failures, lists of higher
-//! and lower versions, manual exclusions, and messages that a restart recovered.
+//! Longer seeded runs over many destinations: traffic that varies, rate limits, rejections, failures, lists with higher
+//! and lower versions, endpoints disabled by an operator, hot restarts, and messages restored by a restart.
 
 use super::*;
 use fastrand::Rng;
 
 const DESTINATIONS: u32 = 24;
 const STEPS: usize = 160;
-/// Recovered messages have numbers of their own, past those that the field gives.
-const FIRST_RECOVERED: MessageId = 1 << 32;
+/// Restored messages are numbered from here, above the ids that the harness assigns.
+const FIRST_RESTORED_ID: MessageId = 1 << 32;
 
-/// How long messages may take and how long pauses are.
+/// The time scale of the traffic and the outcomes that occur in it.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct TrafficProfile {
     pub deadline: u64,
+    /// Unit of the random pauses between steps.
     pub pause_unit: u64,
-    /// Whether connections are turned away from full tables. `may_have_run` of the field does not know of that outcome.
-    pub crowded: bool,
+    /// Whether attempts may end as [`Outcome::TooManyConnections`]. The harness takes such attempts for ones that may
+    /// have run, so it must not be set where its checks are asserted.
+    pub limits_connections: bool,
 }
 
-/// Destinations are seldom idle for long.
-pub const DENSE: Pace = Pace { deadline: 20 * S, pause_unit: MS, crowded: true };
+/// Traffic in which destinations are seldom idle for long.
+pub const DENSE: TrafficProfile =
+    TrafficProfile { deadline: 20 * SECOND, pause_unit: MILLISECOND, limits_connections: true };
 
-/// The list: one to three endpoints a destination; those of every third are routes apart.
-fn endpoints(rng: &mut Rng) -> Vec<Endpoint> {
-    let mut lines = Vec::new();
+/// Lists one to three endpoints for each destination. In every third destination, each endpoint is a route of its own.
+fn random_endpoints(rng: &mut Rng) -> Vec<Endpoint> {
+    let mut endpoints = Vec::new();
     for destination in 1..=DESTINATIONS {
         let rate = f64::from(rng.u32(0..4)) * 7.3;
         for _ in 0..rng.u32(1..4) {
-            let target = lines.len() as TargetId + 1;
+            let target = endpoints.len() as TargetId + 1;
             let (kind, zone) = (u32::from(destination % 3 == 0), rng.u32(0..2));
-            lines.push(Endpoint { target, destination, kind, zone, rate, ..Endpoint::default() });
+            endpoints.push(Endpoint { target, destination, kind, zone, rate, ..Endpoint::default() });
         }
     }
-    lines
+    endpoints
 }
 
 fn traffic_settings(rng: &mut Rng, deadline: u64) -> Settings {
     let class = |effect| Class { deadline, ..class(effect) };
-    let zone = Class { group: Group::Zone, ..class(Effect::Keyed) };
+    let zone_scoped = Class { group: Group::Zone, ..class(Effect::Keyed) };
     let ordered = Class { in_order: true, ..class(Effect::Keyed) };
-    let short = Class { aim: S, deadline: 4 * S, worth: 3.0, ..class(Effect::Repeatable) };
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe), zone, ordered, short];
+    let urgent = Class { aim: SECOND, deadline: 4 * SECOND, worth: 3.0, ..class(Effect::Repeatable) };
+    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe), zone_scoped, ordered, urgent];
     let listed_rate = if rng.bool() { ListedRate::Exact } else { ListedRate::Unknown };
     Settings {
         senders: [1, 2, 30][rng.usize(0..3)],
         slots: rng.u32(6..40),
         max_held: [60, 300][rng.usize(0..2)],
         may_advise_wait: true,
-        max_advised_wait: 5 * S,
+        max_advised_wait: 5 * SECOND,
         batch: vec![1 + 3 * rng.u32(0..2), 1],
         routes_apart: vec![false, true],
         zone_fee: vec![0.05, 0.0],
@@ -56,39 +59,49 @@
     }
 }
 
-/// The busy destinations change over time: first messages come at any time after the listing.
+/// Picks one of the destinations that are busy at this step. They change over time, so that the first message to a
+/// destination may come long after it was listed.
 fn busy_destination(rng: &mut Rng, step: usize) -> DestinationId {
     let first = (step / 20) as u32 * 3;
     1 + (first + rng.u32(0..5)) % DESTINATIONS
 }
 
-fn recover(field: &mut Field, number: u64, destination: DestinationId) {
-    let (id, class, expires) = (FIRST_RECOVERED + number, 0, field.now + 6 * S);
-    let mail =
-        Mail { class, destination, key: 0, expires, sent: vec![], over: None, served: false, refused: false };
-    field.mail.insert(id, mail);
+fn restore(harness: &mut PolicyHarness, number: u64, destination: DestinationId) {
+    let (id, class, expires) = (FIRST_RESTORED_ID + number, 0, harness.now + 6 * SECOND);
+    let message = TestMessage {
+        class,
+        destination,
+        order_key: 0,
+        expires,
+        attempts: vec![],
+        ended_at: None,
+        delivered: false,
+        refused: false,
+    };
+    harness.messages.insert(id, message);
     let class = class as u32;
     let (attempts, first_run) = (Vec::new(), None);
-    field.feed(Event::Restored { id, class, destination, order_key: 0, expires, attempts, first_run });
+    harness.process(Event::Restored { id, class, destination, order_key: 0, expires, attempts, first_run });
 }
 
-fn change_list(field: &mut Field, rng: &mut Rng, lines: &[Endpoint]) {
+fn change_list(harness: &mut PolicyHarness, rng: &mut Rng, endpoints: &[Endpoint]) {
     let states = [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
-    let line = Endpoint { state: states[rng.usize(0..4)], ..lines[rng.usize(0..lines.len())].clone() };
+    let changed =
+        Endpoint { state: states[rng.usize(0..4)], ..endpoints[rng.usize(0..endpoints.len())].clone() };
     match rng.u32(0..4) {
         0 => {
-            let missing = rng.u32(0..2 * lines.len() as u32);
-            let listed = lines.iter().filter(|e| e.target != missing);
-            field.list(ListKind::Full, listed.cloned().collect());
+            let missing = rng.u32(0..2 * endpoints.len() as u32);
+            let listed = endpoints.iter().filter(|endpoint| endpoint.target != missing);
+            harness.update_list(ListKind::Full, listed.cloned().collect());
         }
-        1 => field.feed(Event::List { kind: ListKind::Delta, version: 1, endpoints: vec![line] }),
-        _ => field.list(ListKind::Delta, vec![line]),
+        1 => harness.process(Event::List { kind: ListKind::Delta, version: 1, endpoints: vec![changed] }),
+        _ => harness.update_list(ListKind::Delta, vec![changed]),
     }
 }
 
-fn end_one(field: &mut Field, rng: &mut Rng, crowded: bool) {
-    let out = field.out();
-    let Some((id, attempt, _)) = out.get(rng.usize(0..out.len().max(1))) else { return };
+fn end_random_attempt(harness: &mut PolicyHarness, rng: &mut Rng, limits_connections: bool) {
+    let in_flight = harness.attempts_in_flight();
+    let Some((id, attempt, _)) = in_flight.get(rng.usize(0..in_flight.len().max(1))) else { return };
     let failures = [
         Outcome::Error,
         Outcome::Full,
@@ -98,39 +111,41 @@
         Outcome::TooManyConnections,
     ];
     let drawn = failures.get(rng.usize(0..18)).copied();
-    let possible = drawn.filter(|outcome| crowded || *outcome != Outcome::TooManyConnections);
+    let possible = drawn.filter(|outcome| limits_connections || *outcome != Outcome::TooManyConnections);
     let outcome = possible.unwrap_or(Outcome::Ok);
-    let wait = if outcome == Outcome::Full { rng.u64(0..3) * 700 * MS } else { 0 };
-    field.end(*id, *attempt, outcome, wait);
+    let wait = if outcome == Outcome::Full { rng.u64(0..3) * 700 * MILLISECOND } else { 0 };
+    harness.end_attempt(*id, *attempt, outcome, wait);
 }
 
-/// Plays the run of this seed.
-pub fn play_traffic(seed: u64, pace: Pace) -> Field {
+/// Runs the traffic of this seed, and then until all messages have ended.
+pub fn run_traffic(seed: u64, profile: TrafficProfile) -> PolicyHarness {
     let mut rng = Rng::with_seed(seed);
-    let lines = endpoints(&mut rng);
-    let mut field = Field::new(traffic_settings(&mut rng, pace.deadline), lines.clone());
+    let endpoints = random_endpoints(&mut rng);
+    let mut harness = PolicyHarness::new(traffic_settings(&mut rng, profile.deadline), endpoints.clone());
     for step in 0..STEPS {
         let destination = busy_destination(&mut rng, step);
         match rng.u32(0..30) {
-            0..=9 => drop(field.request(rng.usize(0..5), destination, rng.u64(1..4))),
+            0..=9 => drop(harness.submit(rng.usize(0..5), destination, rng.u64(1..4))),
             10..=11 => (0..10).for_each(|_| {
-                field.request(rng.usize(0..5), destination, 1);
+                harness.submit(rng.usize(0..5), destination, 1);
             }),
-            12..=18 => end_one(&mut field, &mut rng, pace.crowded),
-            19 => recover(&mut field, step as u64, destination),
-            20 => change_list(&mut field, &mut rng, &lines),
+            12..=18 => end_random_attempt(&mut harness, &mut rng, profile.limits_connections),
+            19 => restore(&mut harness, step as u64, destination),
+            20 => change_list(&mut harness, &mut rng, &endpoints),
             21 => {
-                let target = 1 + rng.u32(0..lines.len() as u32);
-                field.feed(Event::ByHand { target, out: rng.bool() });
+                let target = 1 + rng.u32(0..endpoints.len() as u32);
+                harness.process(Event::ByHand { target, out: rng.bool() });
             }
             22 => {
-                let state = field.policy.hand_over().unwrap();
-                field.policy = DeliveryPolicy::take_over(&state, field.settings.clone()).unwrap();
+                let state = harness.policy.hand_over().unwrap();
+                harness.policy = DeliveryPolicy::take_over(&state, harness.settings.clone()).unwrap();
+            }
+            23..=24 => harness.advance(rng.u64(5..900) * profile.pause_unit, never_responds),
+            _ => {
+                harness.advance(rng.u64(5..600) * MILLISECOND, responds_after(rng.u64(10..200) * MILLISECOND))
             }
-            23..=24 => field.run(rng.u64(5..900) * pace.pause_unit, silent),
-            _ => field.run(rng.u64(5..600) * MS, serves(rng.u64(10..200) * MS)),
         }
     }
-    field.run(22 * S, silent);
-    field
+    harness.advance(22 * SECOND, never_responds);
+    harness
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -7,10 +7,10 @@
 use hatchline::*;
 
 /// Time between two rounds of all senders.
-const ROUND: u64 = 10 * MS;
+const ROUND: u64 = 10 * MILLISECOND;
 /// How long a connection takes to come up, and a call on it; a connection that is turned away takes the former.
-const HANDSHAKE: u64 = 50 * MS;
-const CALL: u64 = 100 * MS;
+const HANDSHAKE: u64 = 50 * MILLISECOND;
+const CALL: u64 = 100 * MILLISECOND;
 
 /// A call: sender, message, attempt, when it began and ends, and whether the endpoint has a place for it.
 type Out = (usize, MessageId, u32, u64, u64, bool);
@@ -30,20 +30,21 @@
 
 impl Crowd {
     fn new(senders: usize, places: usize) -> Crowd {
-        let class = Class { aim: 2 * S, deadline: 9 * S, window: 9 * S, ..class(Effect::Keyed) };
+        let class =
+            Class { aim: 2 * SECOND, deadline: 9 * SECOND, window: 9 * SECOND, ..class(Effect::Keyed) };
         let settings = Settings {
             senders: senders as u32,
             slots: 4,
             max_attempts: 4,
-            connection_idle: 8 * S,
+            connection_idle: 8 * SECOND,
             ..settings(vec![class])
         };
         let connection_idle = settings.connection_idle;
         let mut crowd = Crowd {
-            now: 5 * S,
+            now: 5 * SECOND,
             places,
             senders: (0..senders)
-                .map(|n| DeliveryPolicy::new(5 * S, n as u64 * 7919 + 1, settings.clone()))
+                .map(|n| DeliveryPolicy::new(5 * SECOND, n as u64 * 7919 + 1, settings.clone()))
                 .collect(),
             attempts: Vec::new(),
             out: Vec::new(),
@@ -59,8 +60,8 @@
         crowd
     }
 
-    fn hand_in(&mut self, sender: usize) {
-        let (id, expires) = (self.attempts.len() as MessageId, self.now + 9 * S);
+    fn submit(&mut self, sender: usize) {
+        let (id, expires) = (self.attempts.len() as MessageId, self.now + 9 * SECOND);
         self.attempts.push(0);
         let request = Event::Request { id, class: 0, destination: 1, order_key: 0, expires };
         self.senders[sender].handle(self.now, request, &mut Vec::new());
@@ -120,12 +121,12 @@
     fn share_served(&mut self, a_second: f64, span: u64) -> f64 {
         let (before, mut handed_in, mut owed) = (self.served, 0, 0.0);
         for _ in 0..span / ROUND {
-            owed += a_second * ROUND as f64 / S as f64;
+            owed += a_second * ROUND as f64 / SECOND as f64;
             while owed >= 1.0 {
                 owed -= 1.0;
                 handed_in += 1;
                 // A step that has no factor in common with the number of senders meets each in turn.
-                self.hand_in(handed_in * 37 % self.senders.len());
+                self.submit(handed_in * 37 % self.senders.len());
             }
             self.round();
         }
@@ -138,8 +139,8 @@
 #[test]
 fn a_fleet_shares_the_few_connections_of_an_endpoint() {
     let mut crowd = Crowd::new(100, 16);
-    crowd.share_served(60.0, 20 * S);
-    let share = crowd.share_served(60.0, 20 * S);
+    crowd.share_served(60.0, 20 * SECOND);
+    let share = crowd.share_served(60.0, 20 * SECOND);
     assert!(share > 0.8, "{share}");
 }
 
@@ -147,7 +148,7 @@
 #[test]
 fn connections_are_kept_where_the_endpoint_has_room_for_all() {
     let mut crowd = Crowd::new(20, 1000);
-    let share = crowd.share_served(60.0, 40 * S);
+    let share = crowd.share_served(60.0, 40 * SECOND);
     assert!(share > 0.95, "{share}");
     let each = crowd.opened as f64 / crowd.served as f64;
     assert!(each < 0.15, "{each} connections opened for each message");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 /// Time between two rounds of all senders.
-const ROUND: u64 = 10 * MS;
+const ROUND: u64 = 10 * MILLISECOND;
 
 /// Senders of one fleet, each with its own seed, that have one destination.
 struct Fleet {
@@ -25,7 +25,8 @@
 
 impl Fleet {
     fn new(senders: u32, limit: f64) -> Fleet {
-        let class = Class { aim: 3 * S, deadline: 12 * S, window: 12 * S, ..class(Effect::Keyed) };
+        let class =
+            Class { aim: 3 * SECOND, deadline: 12 * SECOND, window: 12 * SECOND, ..class(Effect::Keyed) };
         let settings = Settings {
             senders,
             slots: 4,
@@ -33,7 +34,7 @@
             refused_price: 0.1,
             ..settings(vec![class])
         };
-        let now = 5 * S;
+        let now = 5 * SECOND;
         let born = |n: u32| DeliveryPolicy::new(now, u64::from(n) * 7919 + 1, settings.clone());
         let senders = (0..senders).map(born).collect();
         let endpoints = vec![Endpoint { rate: limit, ..endpoint(1, 1) }];
@@ -51,8 +52,8 @@
     }
 
     /// Hands a sender so many messages.
-    fn hand_in(&mut self, sender: usize, messages: usize) {
-        let expires = self.now + 12 * S;
+    fn submit(&mut self, sender: usize, messages: usize) {
+        let expires = self.now + 12 * SECOND;
         for _ in 0..messages {
             let id = self.attempts.len() as MessageId;
             self.attempts.push(0);
@@ -90,7 +91,7 @@
 
     /// Ends all calls that have been out for 100 ms.
     fn answer(&mut self, outcome: Outcome) {
-        let due = self.now - 100 * MS;
+        let due = self.now - 100 * MILLISECOND;
         let (ended, out) = self.calls.iter().partition(|(.., at)| *at <= due);
         self.calls = out;
         for (n, id, attempt, at) in Vec::from_iter::<Vec<_>>(ended) {
@@ -116,11 +117,11 @@
     let mut fleet = Fleet::new(100, 25.0);
     // One after the other gets its messages within a second, tries, and is refused.
     for n in 0..100 {
-        fleet.hand_in(n, 6);
+        fleet.submit(n, 6);
         fleet.sent_in(ROUND, Outcome::Full);
     }
-    fleet.sent_in(200 * MS, Outcome::Full);
-    let seconds: Vec<usize> = (0..8).map(|_| fleet.sent_in(S, Outcome::Ok)).collect();
+    fleet.sent_in(200 * MILLISECOND, Outcome::Full);
+    let seconds: Vec<usize> = (0..8).map(|_| fleet.sent_in(SECOND, Outcome::Ok)).collect();
     let all: usize = seconds.iter().sum();
     // The limit in eight seconds, to a quarter.
     assert!((150..=250).contains(&all), "{seconds:?}");
@@ -131,8 +132,8 @@
 #[test]
 fn a_fleet_that_begins_with_what_it_held_keeps_to_the_listed_limit() {
     let mut fleet = Fleet::new(300, 60.0);
-    (0..300).for_each(|n| fleet.hand_in(n, 5));
-    let seconds: Vec<usize> = (0..4).map(|_| fleet.sent_in(S, Outcome::Ok)).collect();
+    (0..300).for_each(|n| fleet.submit(n, 5));
+    let seconds: Vec<usize> = (0..4).map(|_| fleet.sent_in(SECOND, Outcome::Ok)).collect();
     // The limit, and what chance and the first raises of the pace add.
     assert!(seconds.iter().all(|n| (30..=90).contains(n)), "{seconds:?}");
 }
@@ -141,11 +142,11 @@
 #[test]
 fn a_fleet_that_was_refused_at_once_does_not_come_again_at_once() {
     let mut fleet = Fleet::new(100, 25.0);
-    (0..100).for_each(|n| fleet.hand_in(n, 6));
-    fleet.sent_in(200 * MS, Outcome::Full);
+    (0..100).for_each(|n| fleet.submit(n, 6));
+    fleet.sent_in(200 * MILLISECOND, Outcome::Full);
     // What the first pause after a refusal lets through is over by then.
-    fleet.sent_in(2 * S, Outcome::Ok);
-    let seconds: Vec<usize> = (0..6).map(|_| fleet.sent_in(S, Outcome::Ok)).collect();
+    fleet.sent_in(2 * SECOND, Outcome::Ok);
+    let seconds: Vec<usize> = (0..6).map(|_| fleet.sent_in(SECOND, Outcome::Ok)).collect();
     assert!(seconds.iter().all(|n| *n <= 50), "{seconds:?}");
 }
 
@@ -153,22 +154,22 @@
 #[test]
 fn a_sender_of_a_large_fleet_saves_up_calls() {
     let mut fleet = Fleet::new(100, 25.0);
-    fleet.hand_in(0, 1);
-    fleet.sent_in(200 * MS, Outcome::Full);
-    fleet.sent_in(30 * S, Outcome::Ok);
-    fleet.hand_in(0, 2);
-    assert_eq!(fleet.sent_in(500 * MS, Outcome::Ok), 2);
+    fleet.submit(0, 1);
+    fleet.sent_in(200 * MILLISECOND, Outcome::Full);
+    fleet.sent_in(30 * SECOND, Outcome::Ok);
+    fleet.submit(0, 2);
+    assert_eq!(fleet.sent_in(500 * MILLISECOND, Outcome::Ok), 2);
 }
 
 /// A limit that was lowered for some seconds is used again soon, though each sender has few answers to learn it from.
 #[test]
 fn a_fleet_comes_back_to_the_listed_limit() {
     let mut fleet = Fleet::new(100, 200.0);
-    (0..100).for_each(|n| fleet.hand_in(n, 10));
-    fleet.sent_in(9 * S, Outcome::Full);
-    (0..100).for_each(|n| fleet.hand_in(n, 30));
-    fleet.sent_in(5 * S, Outcome::Ok);
-    let sent = fleet.sent_in(5 * S, Outcome::Ok);
+    (0..100).for_each(|n| fleet.submit(n, 10));
+    fleet.sent_in(9 * SECOND, Outcome::Full);
+    (0..100).for_each(|n| fleet.submit(n, 30));
+    fleet.sent_in(5 * SECOND, Outcome::Ok);
+    let sent = fleet.sent_in(5 * SECOND, Outcome::Ok);
     // Of the thousand that the limit takes in this span.
     assert!((700..=1100).contains(&sent), "{sent}");
 }
@@ -179,13 +180,13 @@
     let mut fleet = Fleet::new(2, 25.0);
     for outcome in [Outcome::ConnectFailed, Outcome::Ok] {
         (0..5).for_each(|_| {
-            fleet.hand_in(0, 5);
-            fleet.sent_in(S, outcome);
+            fleet.submit(0, 5);
+            fleet.sent_in(SECOND, outcome);
         });
     }
     fleet.closed = 0;
-    fleet.hand_in(0, 5);
-    assert!(fleet.sent_in(5 * S, Outcome::Ok) >= 5);
+    fleet.submit(0, 5);
+    assert!(fleet.sent_in(5 * SECOND, Outcome::Ok) >= 5);
     assert_eq!(fleet.closed, 0);
 }
 
@@ -194,11 +195,11 @@
 fn light_traffic_does_not_raise_the_pace() {
     let mut fleet = Fleet::new(100, 200.0);
     for _ in 0..40 {
-        (0..100).for_each(|n| fleet.hand_in(n, 1));
-        fleet.sent_in(S, Outcome::Ok);
+        (0..100).for_each(|n| fleet.submit(n, 1));
+        fleet.sent_in(SECOND, Outcome::Ok);
     }
-    (0..100).for_each(|n| fleet.hand_in(n, 40));
-    let sent = fleet.sent_in(3 * S, Outcome::Ok);
+    (0..100).for_each(|n| fleet.submit(n, 40));
+    let sent = fleet.sent_in(3 * SECOND, Outcome::Ok);
     // Three seconds of the limit, and what each had saved up.
     assert!((600..=1500).contains(&sent), "{sent}");
 }
@@ -212,8 +213,8 @@
         sent.push(0);
         for tenth in 0..10 {
             let next = (second * 10 + tenth) * 2 % 100;
-            [next, next + 1].into_iter().for_each(|n| fleet.hand_in(n, 1));
-            sent[second] += fleet.sent_in(S / 10, outcome);
+            [next, next + 1].into_iter().for_each(|n| fleet.submit(n, 1));
+            sent[second] += fleet.sent_in(SECOND / 10, outcome);
         }
     }
     sent.split_off(10)
@@ -237,7 +238,7 @@
 /// cold then, and twice its root and two for chance, for the sum of all senders.
 fn allowed_when_cold(limit: f64, since: u64, rules: &Rules) -> f64 {
     let warm = rules.cold_from + (1.0 - rules.cold_from) * (since as f64 / rules.ramp_time as f64).min(1.0);
-    let budget = limit * warm * rules.tip_multiple * rules.tip_after as f64 / S as f64;
+    let budget = limit * warm * rules.tip_multiple * rules.tip_after as f64 / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
@@ -246,19 +247,19 @@
 fn worst_when_cold(senders: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
     let mut fleet = Fleet::new(senders, if listed { limit } else { 0.0 });
     let rules = fleet.settings.rules.clone();
-    let (out_from, out_to, end) = (5 * S, 5 * S + outage, 18 * S + outage);
+    let (out_from, out_to, end) = (5 * SECOND, 5 * SECOND + outage, 18 * SECOND + outage);
     let (mut counts, mut owed, mut dealt, mut told) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
     for round in 0..end / ROUND {
         let at = round * ROUND;
-        owed += 0.8 * limit * ROUND as f64 / S as f64;
+        owed += 0.8 * limit * ROUND as f64 / SECOND as f64;
         while owed >= 1.0 {
             (owed, dealt) = (owed - 1.0, dealt + 1);
             let all = u64::from(senders);
             let busy = dealt * 37 % all.div_ceil(4);
-            fleet.hand_in((if dealt.is_multiple_of(2) { busy } else { dealt * 61 % all }) as usize, 1);
+            fleet.submit((if dealt.is_multiple_of(2) { busy } else { dealt * 61 % all }) as usize, 1);
         }
-        if restarts && at >= out_to && at.is_multiple_of(S / 2) {
-            fleet.restart((at / S * 13 % u64::from(senders)) as usize);
+        if restarts && at >= out_to && at.is_multiple_of(SECOND / 2) {
+            fleet.restart((at / SECOND * 13 % u64::from(senders)) as usize);
         }
         let out = (out_from..out_to).contains(&at);
         fleet.answer(if out { Outcome::ConnectFailed } else { Outcome::Ok });
@@ -297,11 +298,11 @@
     let fleets = [(2, 25.0), (4, 5.0), (4, 25.0), (20, 5.0), (20, 25.0), (30, 5.0), (30, 25.0)];
     let large = [(100, 10.0), (100, 50.0), (350, 10.0)];
     for (senders, limit) in fleets.into_iter().chain(large) {
-        for outage in [4 * S, 6 * S, 15 * S] {
+        for outage in [4 * SECOND, 6 * SECOND, 15 * SECOND] {
             stays_within_what_is_cold(senders, limit, outage);
         }
     }
-    for outage in [6 * S, 15 * S] {
+    for outage in [6 * SECOND, 15 * SECOND] {
         stays_within_what_is_cold(350, 100.0, outage);
     }
 }
@@ -309,5 +310,5 @@
 /// Most of such a fleet have seen one call fail by then, and go on at their part of the limit.
 #[test]
 fn a_fleet_of_350_stays_within_what_is_cold_after_a_short_outage() {
-    stays_within_what_is_cold(350, 100.0, 4 * S);
+    stays_within_what_is_cold(350, 100.0, 4 * SECOND);
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -2,19 +2,20 @@
 
 mod common;
 
-use common::steps::{cases, play};
+use common::steps::{run_cases, run_steps};
 
 #[test]
 fn every_rule_is_kept_and_every_message_ends() {
-    cases(150, |steps, batch| {
-        let field = play(&steps, batch);
-        field.kept();
-        let open: Vec<_> = field.mail.iter().filter(|(_, m)| m.over.is_none()).map(|(id, _)| *id).collect();
+    run_cases(150, |steps, batch| {
+        let harness = run_steps(&steps, batch);
+        harness.assert_no_violations();
+        let open: Vec<_> =
+            harness.messages.iter().filter(|(_, m)| m.ended_at.is_none()).map(|(id, _)| *id).collect();
         assert!(open.is_empty(), "never ended: {open:?}");
     });
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    cases(30, |steps, batch| assert_eq!(play(&steps, batch).trace, play(&steps, batch).trace));
+    run_cases(30, |steps, batch| assert_eq!(run_steps(&steps, batch).trace, run_steps(&steps, batch).trace));
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -25,7 +25,7 @@
     }
 
     fn of_seed(seed: u64, settings: Settings, limit: f64) -> Restart {
-        let now = 50 * S;
+        let now = 50 * SECOND;
         let policy = DeliveryPolicy::new(now, seed, Settings { listed_rate: ListedRate::Exact, ..settings });
         let (out, sent, ended, calls) = (Vec::new(), BTreeMap::new(), Vec::new(), Vec::new());
         let mut restart = Restart { policy, now, out, sent, ended, tried: Vec::new(), calls };
@@ -45,8 +45,8 @@
         self.tell(Event::Restored { id, class: 0, destination: 1, order_key, expires, attempts, first_run });
     }
 
-    fn hand_in(&mut self, id: MessageId) {
-        let expires = self.now + 20 * S;
+    fn submit(&mut self, id: MessageId) {
+        let expires = self.now + 20 * SECOND;
         self.tell(Event::Request { id, class: 0, destination: 1, order_key: 0, expires });
     }
 
@@ -61,7 +61,7 @@
                     attempt: u32::from(self.tried.contains(&id)),
                     target: 1,
                     outcome: Outcome::Ok,
-                    took: 50 * MS,
+                    took: 50 * MILLISECOND,
                     ended: true,
                     wait: 0,
                     report: None,
@@ -73,13 +73,13 @@
                 match action {
                     Action::Send { id, .. } => {
                         self.sent.entry(id).or_insert(self.now);
-                        self.calls.push((self.now + 50 * MS, id));
+                        self.calls.push((self.now + 50 * MILLISECOND, id));
                     }
                     Action::Refuse { id, .. } | Action::Fail { id } => self.ended.push(id),
                     _ => {}
                 }
             }
-            self.now += 10 * MS;
+            self.now += 10 * MILLISECOND;
         }
     }
 }
@@ -90,11 +90,11 @@
     let mut s = settings(vec![class(Effect::Keyed)]);
     s.max_held = 100;
     let mut restart = Restart::new(s, 2.0);
-    (1..=99).for_each(|id| restart.find(id, 15 * S, 0, None));
+    (1..=99).for_each(|id| restart.find(id, 15 * SECOND, 0, None));
     for id in 1000..1010 {
-        restart.hand_in(id);
+        restart.submit(id);
     }
-    restart.run(10 * MS);
+    restart.run(10 * MILLISECOND);
     assert!(!restart.ended.is_empty() && restart.ended.iter().all(|id| *id >= 1000), "{:?}", restart.ended);
 }
 
@@ -103,10 +103,10 @@
 fn what_a_restart_finds_untried_goes_first_and_what_ends_first_before_the_rest() {
     let mut restart = Restart::new(settings(vec![class(Effect::Keyed)]), 20.0);
     // Past its aim, and over long before all that is newer would have gone.
-    (1..=30).for_each(|id| restart.find(id, 6 * S - id * 10 * MS, 0, None));
+    (1..=30).for_each(|id| restart.find(id, 6 * SECOND - id * 10 * MILLISECOND, 0, None));
     for id in 1000..1080 {
-        restart.hand_in(id);
-        restart.run(50 * MS);
+        restart.submit(id);
+        restart.run(50 * MILLISECOND);
     }
     let found: Vec<_> = (1..=30).filter_map(|id| Some((restart.sent.get(&id)?, id))).collect();
     assert_eq!(found.len(), 30, "{:?}, {:?}", restart.sent, restart.ended);
@@ -119,16 +119,16 @@
 #[test]
 fn of_the_keys_that_a_restart_finds_those_rest_whose_call_may_run_on() {
     let mut s = settings(vec![Class { in_order: true, ..class(Effect::Keyed) }]);
-    s.rules.order_pause = 5 * S;
+    s.rules.order_pause = 5 * SECOND;
     let mut restart = Restart::new(s, 0.0);
-    restart.find(1, 15 * S, 7, None);
-    let begun = restart.now - S;
-    restart.find(2, 15 * S, 8, Some((begun, 0)));
-    restart.find(3, 15 * S, 8, None);
+    restart.find(1, 15 * SECOND, 7, None);
+    let begun = restart.now - SECOND;
+    restart.find(2, 15 * SECOND, 8, Some((begun, 0)));
+    restart.find(3, 15 * SECOND, 8, None);
     let start = restart.now;
-    restart.run(8 * S);
-    assert!(restart.sent[&1] < start + S, "{:?}", restart.sent);
-    assert!(restart.sent[&3] >= start + 5 * S, "{:?}", restart.sent);
+    restart.run(8 * SECOND);
+    assert!(restart.sent[&1] < start + SECOND, "{:?}", restart.sent);
+    assert!(restart.sent[&3] >= start + 5 * SECOND, "{:?}", restart.sent);
 }
 
 /// Short deadlines in a fleet of 300: by the even part of the limit, the first call of each came within 10 s, most of
@@ -139,15 +139,15 @@
     s.senders = 300;
     let first_call = |seed| {
         let mut restart = Restart::of_seed(seed, s.clone(), 30.0);
-        restart.find(1, 3 * S, 0, None);
+        restart.find(1, 3 * SECOND, 0, None);
         let start = restart.now;
-        restart.run(3 * S);
+        restart.run(3 * SECOND);
         restart.sent.get(&1).map(|sent| sent - start)
     };
     let calls: Vec<_> = (0..300).filter_map(first_call).collect();
     assert_eq!(calls.len(), 300);
     // Together they stay within three times the limit, also in the first moments.
-    let soon = calls.iter().filter(|at| **at < 300 * MS).count();
+    let soon = calls.iter().filter(|at| **at < 300 * MILLISECOND).count();
     assert!(soon < 60, "{soon} of 300 in the first 300 ms");
 }
 
@@ -158,7 +158,7 @@
     let mut restart = Restart::new(settings(vec![class(Effect::Repeatable)]), 0.0);
     let end = |late: u64| {
         let (mut out, id) = (Vec::new(), 1 + late);
-        let expires = restart.now + S;
+        let expires = restart.now + SECOND;
         restart.policy.handle(
             restart.now,
             Event::Request { id, class: 0, destination: 1, order_key: 0, expires },
@@ -167,7 +167,7 @@
         restart.policy.decide(restart.now, &mut out);
         restart.now = expires - 1 + late;
         let outcome = Outcome::TimedOut;
-        let (attempt, target, took, ended, wait, report) = (0, 1, S, false, 0, None);
+        let (attempt, target, took, ended, wait, report) = (0, 1, SECOND, false, 0, None);
         let event = Event::Outcome { id, attempt, target, outcome, took, ended, wait, report };
         restart.policy.handle(restart.now, event, &mut out);
         out.iter().any(|a| matches!(a, Action::Refuse { id: over, .. } if *over == id))
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -7,9 +7,9 @@
 
 mod common;
 
-use common::steps::{cases, play};
-use common::traffic::{play_traffic, DENSE};
-use common::Field;
+use common::steps::{run_cases, run_steps};
+use common::traffic::{run_traffic, DENSE};
+use common::PolicyHarness;
 use std::cell::RefCell;
 
 const RECORDING: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/actions.txt");
@@ -17,22 +17,22 @@
 const SHORT_RUNS: u32 = 120;
 const TRAFFIC_RUNS: u64 = 120;
 
-fn summary(name: &str, field: &Field) -> String {
-    let actions: String = field.trace.iter().map(|action| format!("{action:?}\n")).collect();
-    format!("{name} {} {:08x}\n", field.trace.len(), crc32fast::hash(actions.as_bytes()))
+fn summary(name: &str, harness: &PolicyHarness) -> String {
+    let actions: String = harness.trace.iter().map(|action| format!("{action:?}\n")).collect();
+    format!("{name} {} {:08x}\n", harness.trace.len(), crc32fast::hash(actions.as_bytes()))
 }
 
 fn short_runs() -> String {
     let lines = RefCell::new(Vec::new());
-    cases(SHORT_RUNS, |steps, batch| {
+    run_cases(SHORT_RUNS, |steps, batch| {
         let name = format!("short-{}", lines.borrow().len());
-        lines.borrow_mut().push(summary(&name, &play(&steps, batch)));
+        lines.borrow_mut().push(summary(&name, &run_steps(&steps, batch)));
     });
     lines.into_inner().concat()
 }
 
 fn traffic_runs() -> String {
-    let run = |seed| summary(&format!("traffic-{seed}"), &play_traffic(seed, DENSE));
+    let run = |seed| summary(&format!("traffic-{seed}"), &run_traffic(seed, DENSE));
     (0..TRAFFIC_RUNS).map(run).collect()
 }
 
