--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,12 +1,13 @@
-//! One small test for each failure found, through the module's interface.
+//! Regression tests for single rules of the delivery policy, through its public interface.
 
 mod common;
 
 use common::*;
 use hatchline::*;
 
-/// A destination that has answered for a while, so that τ is known and the window open.
-fn warmed(settings: Settings, endpoints: Vec<Endpoint>, class: usize) -> PolicyHarness {
+/// A harness whose first destination has delivered 60 messages, so that response times are known and the concurrency
+/// window is wide.
+fn warm_harness(settings: Settings, endpoints: Vec<Endpoint>, class: usize) -> PolicyHarness {
     let mut harness = PolicyHarness::new(settings, endpoints);
     for _ in 0..60 {
         harness.submit(class, 1, 0);
@@ -17,23 +18,27 @@
 }
 
 #[test]
-fn calls_wait_the_time_left_until_warm_and_then_for_tau() {
+fn calls_time_out_at_the_deadline_until_response_times_are_known() {
     let mut harness = PolicyHarness::new(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)]);
     let first = harness.submit(0, 1, 0);
     assert_eq!(harness.messages[&first].attempts[0].times_out_at, harness.messages[&first].expires);
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
-    let a = &harness.messages[&id].attempts[0];
-    assert!(a.times_out_at - a.sent_at < SECOND, "τ of {} µs", a.times_out_at - a.sent_at);
+    let attempt = &harness.messages[&id].attempts[0];
+    assert!(
+        attempt.times_out_at - attempt.sent_at < SECOND,
+        "timeout of {} µs",
+        attempt.times_out_at - attempt.sent_at
+    );
     harness.advance(SECOND, never_responds);
-    assert!(harness.messages[&id].attempts.len() > 1, "it was not resent at τ");
+    assert!(harness.messages[&id].attempts.len() > 1, "no retry after the timeout");
     harness.assert_no_violations();
 }
 
 #[test]
-fn an_unsafe_message_waits_the_time_left() {
+fn an_unsafe_message_is_sent_once_with_its_deadline_as_timeout() {
     let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
-    let mut harness = warmed(settings(classes), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(classes), vec![endpoint(1, 1)], 0);
     let id = harness.submit(1, 1, 0);
     assert_eq!(harness.messages[&id].attempts[0].times_out_at, harness.messages[&id].expires);
     harness.advance(21 * SECOND, never_responds);
@@ -42,12 +47,12 @@
     harness.assert_no_violations();
 }
 
-/// Found on the first standard days: messages whose window lapsed while they were held went out again.
+/// Messages whose deduplication window expired while they were held used to be sent again.
 #[test]
-fn a_keyed_message_is_not_repeated_after_its_window() {
+fn a_keyed_message_is_not_retried_after_its_deduplication_window() {
     let mut keyed = class(Effect::Keyed);
     keyed.window = 3 * SECOND;
-    let mut harness = warmed(settings(vec![keyed]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![keyed]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::TimedOut, 0);
     harness.end_attempt(id, 1, Outcome::Full, 4 * SECOND);
@@ -57,37 +62,40 @@
     harness.assert_no_violations();
 }
 
-/// Found on the first standard days: in a shared call, a wait told to a later message was not taken.
+/// Where a call carried several messages, the retry-after time of any but the first message used to be ignored.
 #[test]
-fn a_wait_told_to_any_message_of_a_call_is_heeded() {
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.batch = vec![4];
-    let mut harness = warmed(s, vec![endpoint(1, 1)], 0);
-    // Hold the destination, so that several messages go in one call.
+fn the_retry_after_of_any_message_in_a_batch_is_respected() {
+    let mut settings = settings(vec![class(Effect::Repeatable)]);
+    settings.batch = vec![4];
+    let mut harness = warm_harness(settings, vec![endpoint(1, 1)], 0);
+    // Blocks the destination for a while, so that one call then carries several messages.
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::Full, 500 * MILLISECOND);
     let ids: Vec<_> = (0..3).map(|_| harness.submit(0, 1, 0)).collect();
     harness.advance(600 * MILLISECOND, |_, _, _| None);
-    let shared: Vec<_> =
-        harness.attempts_in_flight().into_iter().filter(|(x, _, _)| ids.contains(x) || *x == id).collect();
-    assert!(shared.len() >= 2, "{} messages out", shared.len());
-    let last = shared.len() - 1;
-    for (i, (id, n, _)) in shared.iter().enumerate() {
-        harness.end_attempt(*id, *n, Outcome::Full, if i == last { 2 * SECOND } else { 0 });
+    let batch: Vec<_> = harness
+        .attempts_in_flight()
+        .into_iter()
+        .filter(|(other, _, _)| ids.contains(other) || *other == id)
+        .collect();
+    assert!(batch.len() >= 2, "{} messages in flight", batch.len());
+    let last = batch.len() - 1;
+    for (position, (id, index, _)) in batch.iter().enumerate() {
+        harness.end_attempt(*id, *index, Outcome::Full, if position == last { 2 * SECOND } else { 0 });
     }
     harness.advance(5 * SECOND, responds_after(80 * MILLISECOND));
     harness.assert_no_violations();
 }
 
-/// voda big-1: every slot sat on calls to a silent destination, and nothing was sent anywhere.
+/// Calls to a destination that never responds used to occupy every slot, so that nothing was sent anywhere.
 #[test]
-fn a_silent_destination_does_not_hold_all_slots() {
-    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe)]);
-    s.slots = 8;
-    let mut harness = PolicyHarness::new(s, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
+fn an_unresponsive_destination_does_not_occupy_all_slots() {
+    let mut settings = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe)]);
+    settings.slots = 8;
+    let mut harness = PolicyHarness::new(settings, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
     for _ in 0..60 {
-        for d in 1..=3 {
-            harness.submit(0, d, 0);
+        for destination in 1..=3 {
+            harness.submit(0, destination, 0);
         }
         harness.advance(100 * MILLISECOND, responds_after(80 * MILLISECOND));
     }
@@ -95,20 +103,20 @@
         harness.submit(1, 1, 0);
         harness.submit(1, 3, 0);
     }
-    let dead = |now: u64, _: MessageId, a: &Attempt| {
-        (a.target == 2 && now >= a.sent_at + 80 * MILLISECOND).then_some((Outcome::Ok, 0))
+    let only_second_responds = |now: u64, _: MessageId, attempt: &Attempt| {
+        (attempt.target == 2 && now >= attempt.sent_at + 80 * MILLISECOND).then_some((Outcome::Ok, 0))
     };
-    harness.advance(2 * SECOND, dead);
+    harness.advance(2 * SECOND, only_second_responds);
     let id = harness.submit(0, 2, 0);
-    harness.advance(3 * SECOND, dead);
+    harness.advance(3 * SECOND, only_second_responds);
     assert!(harness.messages[&id].delivered, "the healthy destination was starved");
     harness.assert_no_violations();
 }
 
-/// A silent destination gets single trials, not the window's worth of messages.
+/// Half-open probes go one at a time, not as many at once as the concurrency window allows.
 #[test]
-fn a_silent_destination_gets_single_trials_and_then_a_slow_start() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+fn an_unresponsive_destination_gets_single_probes_and_then_a_slow_start() {
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     for _ in 0..40 {
         harness.submit(0, 1, 0);
     }
@@ -117,43 +125,43 @@
     harness.advance(4 * SECOND, never_responds);
     assert!(
         harness.attempt_count() - before <= 12,
-        "{} sends to a silent destination in 4 s",
+        "{} attempts in 4 s at an unresponsive destination",
         harness.attempt_count() - before
     );
-    assert!(harness.attempt_count() > before, "no trial in 4 s");
-    let back = harness.attempt_count();
+    assert!(harness.attempt_count() > before, "no probe in 4 s");
+    let at_return = harness.attempt_count();
     harness.advance(2 * SECOND, responds_after(80 * MILLISECOND));
-    let early = harness.attempt_count() - back;
-    assert!((1..=8).contains(&early), "{early} sends in the first 2 s after the return");
+    let early = harness.attempt_count() - at_return;
+    assert!((1..=8).contains(&early), "{early} attempts in the first 2 s after the return");
     harness.assert_no_violations();
 }
 
-/// Incidents ib6d87e and i2d46a9: the backlog of one destination filled the room, and others were refused.
+/// The backlog of one destination used to fill the limit on held messages, so that messages for others were refused.
 #[test]
 fn a_backlog_for_one_destination_leaves_room_for_others() {
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.max_held = 60;
-    let mut harness = PolicyHarness::new(s, vec![endpoint(1, 1), endpoint(2, 2)]);
+    let mut settings = settings(vec![class(Effect::Repeatable)]);
+    settings.max_held = 60;
+    let mut harness = PolicyHarness::new(settings, vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..200 {
         harness.submit(0, 1, 0);
-        harness.advance(20 * MILLISECOND, |now, _, a| {
-            (now >= a.sent_at + 20 * MILLISECOND).then_some((Outcome::Full, 0))
+        harness.advance(20 * MILLISECOND, |now, _, attempt| {
+            (now >= attempt.sent_at + 20 * MILLISECOND).then_some((Outcome::Full, 0))
         });
-        let held = harness.messages.values().filter(|m| m.ended_at.is_none()).count();
+        let held = harness.messages.values().filter(|message| message.ended_at.is_none()).count();
         assert!(held < 60, "{held} held");
     }
     let id = harness.submit(0, 2, 0);
-    harness.advance(SECOND, |now, _, a| {
-        (a.target == 2 && now >= a.sent_at + 80 * MILLISECOND).then_some((Outcome::Ok, 0))
+    harness.advance(SECOND, |now, _, attempt| {
+        (attempt.target == 2 && now >= attempt.sent_at + 80 * MILLISECOND).then_some((Outcome::Ok, 0))
     });
     assert!(harness.messages[&id].delivered);
     harness.assert_no_violations();
 }
 
-/// The first refusal after a long run without a limit must not stop a destination for long.
+/// The first rejection by a destination that has shown no limit so far must not stop its traffic for long.
 #[test]
-fn one_refusal_after_a_long_run_is_soon_over() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+fn one_rejection_after_steady_success_causes_only_a_short_pause() {
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::Full, 0);
     harness.advance(2 * SECOND, responds_after(80 * MILLISECOND));
@@ -162,45 +170,46 @@
 }
 
 #[test]
-fn drained_and_removed_endpoints_get_nothing_new() {
+fn draining_and_removed_endpoints_get_no_new_calls() {
     let mut harness =
-        warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)], 0);
+        warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)], 0);
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
     harness.update_list(ListKind::Delta, vec![draining]);
     let ids: Vec<_> = (0..6).map(|_| harness.submit(0, 1, 0)).collect();
     harness.advance(2 * SECOND, responds_after(80 * MILLISECOND));
-    assert!(ids.iter().all(|id| harness.messages[id].attempts.iter().all(|a| a.target == 2)));
+    assert!(ids.iter().all(|id| harness.messages[id].attempts.iter().all(|attempt| attempt.target == 2)));
     harness.update_list(ListKind::Full, vec![endpoint(3, 1)]);
     let id = harness.submit(0, 1, 0);
     assert_eq!(harness.messages[&id].attempts[0].target, 3);
     harness.assert_no_violations();
 }
 
-/// A connection may take a second to stand: the module is asked again before the call is written.
+/// A connection may take a second to establish. Before the call is written, the policy is asked again whether the message
+/// may still be sent.
 #[test]
-fn a_call_whose_connection_was_late_goes_by_what_was_told_meanwhile() {
-    let mut f =
+fn a_call_is_checked_again_once_its_connection_is_established() {
+    let mut harness =
         PolicyHarness::new(settings(vec![class(Effect::Keyed)]), vec![endpoint(1, 1), endpoint(2, 1)]);
-    let id = f.submit(0, 1, 0);
-    assert!(f.policy.may_go(f.now, id, 1) && f.policy.may_go(f.now, id, 2));
-    assert!(!f.policy.may_go(f.now, id, 3) && !f.policy.may_go(f.now, id + 1, 1));
+    let id = harness.submit(0, 1, 0);
+    assert!(harness.policy.may_go(harness.now, id, 1) && harness.policy.may_go(harness.now, id, 2));
+    assert!(!harness.policy.may_go(harness.now, id, 3) && !harness.policy.may_go(harness.now, id + 1, 1));
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
-    f.update_list(ListKind::Delta, vec![draining]);
-    assert!(!f.policy.may_go(f.now, id, 1) && f.policy.may_go(f.now, id, 2));
-    let begun = f.now;
-    f.now += SECOND;
-    f.end_attempt(id, 0, Outcome::Reset, 300 * MILLISECOND);
-    assert!(!f.policy.may_go(f.now + 290 * MILLISECOND, id, 2));
-    assert!(f.policy.may_go(begun + 9_900 * MILLISECOND, id, 2));
-    // It may have run, and its window of 10 s is over.
-    assert!(!f.policy.may_go(begun + 10 * SECOND, id, 2));
-    f.process(Event::ByHand { target: 2, out: true });
-    assert!(!f.policy.may_go(begun + 9_900 * MILLISECOND, id, 2));
+    harness.update_list(ListKind::Delta, vec![draining]);
+    assert!(!harness.policy.may_go(harness.now, id, 1) && harness.policy.may_go(harness.now, id, 2));
+    let started = harness.now;
+    harness.now += SECOND;
+    harness.end_attempt(id, 0, Outcome::Reset, 300 * MILLISECOND);
+    assert!(!harness.policy.may_go(harness.now + 290 * MILLISECOND, id, 2));
+    assert!(harness.policy.may_go(started + 9_900 * MILLISECOND, id, 2));
+    // The first attempt may have run, and its deduplication window of 10 s is over.
+    assert!(!harness.policy.may_go(started + 10 * SECOND, id, 2));
+    harness.process(Event::ByHand { target: 2, out: true });
+    assert!(!harness.policy.may_go(started + 9_900 * MILLISECOND, id, 2));
 }
 
 #[test]
-fn a_message_with_less_time_left_than_any_answer_takes_is_refused_unsent() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+fn a_message_with_less_time_left_than_any_response_takes_is_refused_unsent() {
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let (id, expires) = (9_000, harness.now + 30 * MILLISECOND);
     let mut out = Vec::new();
     harness.policy.handle(
@@ -210,15 +219,16 @@
     );
     harness.policy.decide(harness.now, &mut out);
     assert!(out.contains(&Action::Refuse { id, retry_after: 0 }), "{out:?}");
-    assert!(!out.iter().any(|a| matches!(a, Action::Send { .. })));
+    assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })));
 }
 
-/// Sends in `span` after a destination stopped answering as it did, for a sender that is one of `senders`.
-fn sends_in_trouble(senders: u32, span: u64, outcome: Option<Outcome>, wait: u64) -> usize {
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.senders = senders;
-    s.max_attempts = 12;
-    let mut harness = PolicyHarness::new(s, vec![endpoint(1, 1)]);
+/// Attempts that one of so many replicas makes within `span` after a destination began to fail with this outcome, or to not
+/// respond at all.
+fn attempts_while_failing(replicas: u32, span: u64, outcome: Option<Outcome>, wait: u64) -> usize {
+    let mut settings = settings(vec![class(Effect::Repeatable)]);
+    settings.senders = replicas;
+    settings.max_attempts = 12;
+    let mut harness = PolicyHarness::new(settings, vec![endpoint(1, 1)]);
     for _ in 0..3 {
         harness.submit(0, 1, 0);
         harness.advance(8 * SECOND, responds_after(80 * MILLISECOND));
@@ -227,16 +237,16 @@
     for _ in 0..3 {
         harness.submit(0, 1, 0);
     }
-    harness.advance(span, |now, _, a| {
-        let out = outcome.filter(|_| now >= a.sent_at + 50 * MILLISECOND);
-        out.map(|o| (o, (field_wait(wait, now)).min(wait)))
+    harness.advance(span, |now, _, attempt| {
+        let ended = outcome.filter(|_| now >= attempt.sent_at + 50 * MILLISECOND);
+        ended.map(|outcome| (outcome, (wait_until_next_multiple(wait, now)).min(wait)))
     });
     harness.assert_no_violations();
     harness.attempt_count() - before
 }
 
-/// A wait that always ends at the same moments, as a shut destination tells it.
-fn field_wait(wait: u64, now: u64) -> u64 {
+/// A retry-after time that always ends at a multiple of `wait`, as a destination that reopens at fixed times sends it.
+fn wait_until_next_multiple(wait: u64, now: u64) -> u64 {
     if wait == 0 {
         0
     } else {
@@ -244,10 +254,10 @@
     }
 }
 
-/// teplo-later big-1: hundreds of senders, each with a message or two, tried a destination that refused,
-/// was out or shut so often that together they held it down or pushed it over on its return.
+/// Hundreds of replicas, each with a message or two, called a destination that rejected calls, was down or was closed.
+/// Together they did so often enough to keep it down, or to overload it on its return.
 #[test]
-fn among_hundreds_of_senders_each_tries_a_destination_in_trouble_seldom() {
+fn replicas_of_a_large_fleet_rarely_call_a_failing_destination() {
     for (outcome, wait) in [
         (Some(Outcome::Full), 0),
         (Some(Outcome::Full), 3 * SECOND),
@@ -255,73 +265,76 @@
         (None, 0),
     ] {
         let (few, many) = (
-            sends_in_trouble(2, 18 * SECOND, outcome, wait),
-            sends_in_trouble(250, 18 * SECOND, outcome, wait),
+            attempts_while_failing(2, 18 * SECOND, outcome, wait),
+            attempts_while_failing(250, 18 * SECOND, outcome, wait),
+        );
+        assert!(many <= 8, "{outcome:?}, retry after {wait}: {many} attempts in 18 s, {few} as one of two");
+        assert!(
+            few >= many,
+            "{outcome:?}, retry after {wait}: {few} attempts as one of two, {many} among many"
         );
-        assert!(many <= 8, "{outcome:?}, {wait} told: {many} sends in 18 s, {few} as one of two");
-        assert!(few >= many, "{outcome:?}, {wait} told: {few} sends as one of two, {many} among many");
     }
 }
 
-/// teplo-later: endpoints that take few connections, filled by the idle ones of scores of senders.
+/// Endpoints that accept few connections used to be filled by the idle connections of scores of replicas.
 #[test]
-fn a_connection_is_closed_after_use_where_one_was_denied_or_the_next_use_is_far() {
+fn a_connection_is_closed_after_use_where_one_failed_or_the_next_use_is_far_off() {
     let closes = |harness: &PolicyHarness| {
-        harness.trace.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count()
+        harness.trace.iter().filter(|(_, action)| matches!(action, Action::CloseIdle { .. })).count()
     };
-    let mut busy = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut busy = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let before = closes(&busy);
     busy.submit(0, 1, 0);
     busy.advance(SECOND, responds_after(80 * MILLISECOND));
-    assert_eq!(closes(&busy), before, "closed though the next use is near");
+    assert_eq!(closes(&busy), before, "closed although the next use is near");
     let id = busy.submit(0, 1, 0);
     busy.end_attempt(id, 0, Outcome::ConnectFailed, 0);
     busy.advance(3 * SECOND, responds_after(80 * MILLISECOND));
-    assert!(busy.messages[&id].delivered && closes(&busy) > before, "kept where connections are short");
-    let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.connection_idle = SECOND;
-    let mut seldom = PolicyHarness::new(s, vec![endpoint(1, 1)]);
+    assert!(busy.messages[&id].delivered && closes(&busy) > before, "kept although connections are scarce");
+    let mut settings = settings(vec![class(Effect::Repeatable)]);
+    settings.connection_idle = SECOND;
+    let mut rarely_used = PolicyHarness::new(settings, vec![endpoint(1, 1)]);
     for _ in 0..4 {
-        seldom.submit(0, 1, 0);
-        seldom.advance(15 * SECOND, responds_after(80 * MILLISECOND));
+        rarely_used.submit(0, 1, 0);
+        rarely_used.advance(15 * SECOND, responds_after(80 * MILLISECOND));
     }
-    assert_eq!(closes(&seldom), 4, "kept though the next use is far");
+    assert_eq!(closes(&rarely_used), 4, "kept although the next use is far off");
 }
 
-/// After each crash of a partner, every call to it opened a connection of its own for the rest of the day.
+/// After an endpoint had crashed once, every call to it used to open a new connection for the rest of the day.
 #[test]
-fn connections_are_kept_again_some_time_after_one_was_denied() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+fn connections_are_kept_again_some_time_after_one_failed() {
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::ConnectFailed, 0);
-    let calls = |harness: &mut PolicyHarness| {
+    let make_calls = |harness: &mut PolicyHarness| {
         for _ in 0..170 {
             harness.submit(0, 1, 0);
             harness.advance(100 * MILLISECOND, responds_after(80 * MILLISECOND));
         }
     };
-    calls(&mut harness);
+    make_calls(&mut harness);
     let before = harness.trace.len();
-    calls(&mut harness);
-    let closes = |(_, a): &&(u64, Action)| matches!(a, Action::CloseIdle { .. });
+    make_calls(&mut harness);
+    let closes = |(_, action): &&(u64, Action)| matches!(action, Action::CloseIdle { .. });
     assert_eq!(
         harness.trace[before..].iter().filter(closes).count(),
         0,
-        "closed though there is room for long"
+        "closed although the failure was long ago"
     );
     harness.assert_no_violations();
 }
 
-/// scrape+rate+leave with little processor time: an end that was decided at a message's time came 200 ms after it.
+/// On a host short of processor time, a result that was decided at the deadline used to reach the client 200 ms after it.
 #[test]
-fn where_the_host_is_late_messages_end_so_much_before_their_time() {
-    const LATE: u64 = 200 * MILLISECOND;
-    for (calls, by) in [(false, 0), (false, LATE), (true, 0), (true, LATE)] {
-        let short = Class { deadline: SECOND, ..class(Effect::Repeatable) };
-        let one_attempt = Settings { max_attempts: 1, ..settings(vec![short]) };
+fn messages_end_before_their_deadline_by_the_processing_lag() {
+    const LAG: u64 = 200 * MILLISECOND;
+    for (has_endpoint, by) in [(false, 0), (false, LAG), (true, 0), (true, LAG)] {
+        let short_lived = Class { deadline: SECOND, ..class(Effect::Repeatable) };
+        let one_attempt = Settings { max_attempts: 1, ..settings(vec![short_lived]) };
         let mut harness = PolicyHarness::new(one_attempt, vec![endpoint(1, 1)]);
-        if !calls {
-            // Nothing can go there.
+        if !has_endpoint {
+            // No endpoint is left to send to.
             harness.update_list(ListKind::Full, Vec::new());
         }
         harness.process(Event::Late { by });
@@ -329,20 +342,24 @@
         let expires = harness.messages[&id].expires;
         let before = harness.trace.len();
         harness.advance(2 * SECOND, never_responds);
-        assert_eq!(!harness.messages[&id].attempts.is_empty(), calls);
-        let left = expires as i64 - harness.messages[&id].ended_at.expect("an end") as i64;
+        assert_eq!(!harness.messages[&id].attempts.is_empty(), has_endpoint);
+        let left = expires as i64 - harness.messages[&id].ended_at.expect("the message has not ended") as i64;
         let (by, tick) = (by as i64, harness.settings.tick as i64);
-        assert!((by - tick..=by + 2 * tick).contains(&left), "{left} us before its time, {by} us late");
-        let timers = harness.trace[before..].iter().filter(|(_, a)| matches!(a, Action::Timer { .. }));
-        assert!(timers.count() < 100, "no busy wait for the call");
+        assert!(
+            (by - tick..=by + 2 * tick).contains(&left),
+            "ended {left} us before its deadline with a lag of {by} us"
+        );
+        let timers =
+            harness.trace[before..].iter().filter(|(_, action)| matches!(action, Action::Timer { .. }));
+        assert!(timers.count() < 100, "the policy polls for the end of the call");
         harness.assert_no_violations();
     }
 }
 
-/// A call that the end of the process cuts off may have run, which ends an unsafe message.
+/// A call that the end of the process interrupts may have run; for an unsafe message, that rules out a retry.
 #[test]
-fn no_call_is_started_that_the_end_of_the_process_would_cut_off() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+fn no_call_starts_that_would_not_finish_before_shutdown() {
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let by = harness.now + 3 * SECOND;
     harness.process(Event::Stopping { by });
     let early = harness.submit(0, 1, 0);
@@ -355,7 +372,7 @@
 }
 
 #[test]
-fn odd_events_are_ignored() {
+fn unexpected_events_are_ignored() {
     let mut harness = PolicyHarness::new(settings(vec![class(Effect::Keyed)]), vec![endpoint(1, 1)]);
     let end = |id, attempt, target| Event::Outcome {
         id,
@@ -383,17 +400,17 @@
         harness.policy.handle(harness.now, event, &mut out);
         harness.policy.decide(harness.now, &mut out);
     }
-    assert!(!out.iter().any(|a| matches!(a, Action::Send { .. })), "{out:?}");
+    assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })), "{out:?}");
 }
 
-/// A day of resets: of what was held for a destination that looked out, the oldest had been withdrawn by its
-/// clients, and each trial was spent on one of those, which tells nothing. It never opened again.
+/// The oldest messages held for a destination with an open circuit breaker had been withdrawn by their clients. Each
+/// half-open probe was used on one of those, which is never sent and so says nothing: the breaker never closed again.
 #[test]
-fn trials_are_not_used_up_by_messages_that_were_withdrawn() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+fn withdrawn_messages_do_not_use_up_half_open_probes() {
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let withdrawn: Vec<_> = (0..80).map(|_| harness.submit(0, 1, 0)).collect();
-    harness.advance(2 * SECOND, |now, _, a| {
-        (now >= a.sent_at + 10 * MILLISECOND).then_some((Outcome::ConnectFailed, 0))
+    harness.advance(2 * SECOND, |now, _, attempt| {
+        (now >= attempt.sent_at + 10 * MILLISECOND).then_some((Outcome::ConnectFailed, 0))
     });
     for id in withdrawn {
         if harness.messages[&id].ended_at.is_none() {
@@ -401,20 +418,23 @@
         }
     }
     assert!(
-        harness.messages.values().filter(|m| !m.delivered && !m.refused).count() > 40,
+        harness.messages.values().filter(|message| !message.delivered && !message.refused).count() > 40,
         "too few were held"
     );
     let wanted: Vec<_> = (0..5).map(|_| harness.submit(0, 1, 0)).collect();
     harness.advance(6 * SECOND, responds_after(80 * MILLISECOND));
-    assert!(wanted.iter().all(|id| harness.messages[id].delivered), "a destination that answers stayed shut");
+    assert!(
+        wanted.iter().all(|id| harness.messages[id].delivered),
+        "the circuit breaker of a destination that responds stayed open"
+    );
     harness.assert_no_violations();
 }
 
-/// r7582: a backlog of some seconds was served oldest first, so that all that came after was late too, for as
-/// long as messages came about as fast as they could be served.
+/// A backlog of some seconds was sent oldest first, so that all later messages were late too, for as long as messages
+/// arrived about as fast as they could be delivered.
 #[test]
 fn a_stale_backlog_does_not_make_later_messages_late() {
-    let mut harness = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     for _ in 0..200 {
         harness.submit(0, 1, 0);
     }
@@ -428,46 +448,49 @@
         .collect();
     harness.advance(20 * SECOND, responds_after(300 * MILLISECOND));
     let aim = harness.settings.classes[0].aim;
-    let mail = |id: &MessageId| &harness.messages[id];
-    let in_time =
-        later.iter().filter(|(id, at)| mail(id).delivered && mail(id).ended_at.unwrap() <= at + aim).count();
-    assert!(in_time >= 90, "{in_time} of 100 later messages were in time");
+    let message = |id: &MessageId| &harness.messages[id];
+    let in_time = later
+        .iter()
+        .filter(|(id, at)| message(id).delivered && message(id).ended_at.unwrap() <= at + aim)
+        .count();
+    assert!(in_time >= 90, "{in_time} of 100 later messages were delivered within the aim");
     harness.assert_no_violations();
 }
 
-/// Clients that came back at once met the same backlog, and had used up their tries before it was served.
+/// Refused clients that retried at once met the same backlog, and had used up their retries before it was delivered.
 #[test]
-fn a_refused_client_is_told_when_to_come_back_where_that_is_allowed() {
-    let advice = |allowed: bool| {
-        let mut s = settings(vec![class(Effect::Repeatable)]);
-        (s.may_advise_wait, s.max_advised_wait, s.max_held) = (allowed, 2 * SECOND, 40);
-        let mut harness = warmed(s, vec![endpoint(1, 1)], 0);
+fn a_refusal_carries_a_retry_after_only_where_allowed() {
+    let retry_afters = |allowed: bool| {
+        let mut settings = settings(vec![class(Effect::Repeatable)]);
+        (settings.may_advise_wait, settings.max_advised_wait, settings.max_held) = (allowed, 2 * SECOND, 40);
+        let mut harness = warm_harness(settings, vec![endpoint(1, 1)], 0);
         let id = harness.submit(0, 1, 0);
         harness.end_attempt(id, 0, Outcome::Full, 1500 * MILLISECOND);
         (0..60).for_each(|_| assert!(harness.submit(0, 1, 0) > id));
-        let refused = harness.trace.iter().filter_map(|(_, a)| match a {
+        let refused = harness.trace.iter().filter_map(|(_, action)| match action {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
         refused.collect::<Vec<_>>()
     };
-    let told = advice(true);
+    let sent = retry_afters(true);
     assert!(
-        told.len() > 10 && told.iter().all(|wait| (1500 * MILLISECOND..=2 * SECOND).contains(wait)),
-        "{told:?}"
+        sent.len() > 10 && sent.iter().all(|wait| (1500 * MILLISECOND..=2 * SECOND).contains(wait)),
+        "{sent:?}"
     );
-    assert!(advice(false).iter().all(|wait| *wait == 0));
+    assert!(retry_afters(false).iter().all(|wait| *wait == 0));
 }
 
-/// What operators take out gets nothing, whatever the list says, and comes back as cold: one call at a time, spaced.
+/// An endpoint that operators have disabled gets no calls, whatever the list says. Once enabled it is treated as cold: it
+/// gets one call at a time, at intervals.
 #[test]
-fn an_endpoint_taken_out_by_hand_gets_nothing_and_is_cold_when_it_is_back() {
+fn a_disabled_endpoint_gets_no_calls_and_starts_slowly_once_enabled() {
     let mut harness =
         PolicyHarness::new(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)]);
     let traffic = |harness: &mut PolicyHarness, span: u64| {
-        let (from, seen) = (harness.now, harness.attempt_count());
+        let (from, before) = (harness.now, harness.attempt_count());
         while harness.now < from + span {
-            // Two at a time: where both endpoints serve, each gets one.
+            // Two at a time, so that each endpoint gets one where both are in use.
             for _ in 0..2 {
                 harness.submit(0, 1, 0);
             }
@@ -476,17 +499,17 @@
         let sent = harness
             .messages
             .values()
-            .flat_map(|m| &m.attempts)
-            .filter(|a| a.sent_at >= from && a.target == 1)
+            .flat_map(|message| &message.attempts)
+            .filter(|attempt| attempt.sent_at >= from && attempt.target == 1)
             .count();
-        (sent, harness.attempt_count() - seen)
+        (sent, harness.attempt_count() - before)
     };
     traffic(&mut harness, 5 * SECOND);
     harness.process(Event::ByHand { target: 1, out: true });
     harness.process(Event::ByHand { target: 1, out: true });
     harness.update_list(ListKind::Full, vec![endpoint(1, 1), endpoint(2, 1)]);
     let (sent, all) = traffic(&mut harness, 5 * SECOND);
-    assert!(sent == 0 && all > 50, "{sent} of {all} calls while it was out");
+    assert!(sent == 0 && all > 50, "{sent} of {all} calls while it was disabled");
     assert_eq!(harness.policy.pool(), Pool { listed: 2, avoided: 1 });
     harness.process(Event::ByHand { target: 1, out: false });
     let (cold, all) = traffic(&mut harness, 2 * SECOND);
@@ -497,17 +520,18 @@
     harness.assert_no_violations();
 }
 
-/// Another process goes on as this one would have: with all its waits, windows, gates and times.
+/// After a hot restart, the policy decides as it would have without: the exported state holds all pauses, concurrency
+/// windows, rate limits, circuit breakers and response times.
 #[test]
-fn a_successor_does_all_that_its_predecessor_would_have_done() {
-    let trace = |handover: bool| {
+fn a_successor_decides_as_its_predecessor_would_have() {
+    let trace = |takeover: bool| {
         let mut harness = PolicyHarness::new(
             settings(vec![class(Effect::Keyed), class(Effect::Unsafe)]),
-            (1..=6).map(|n| endpoint(n, n.div_ceil(2))).collect(),
+            (1..=6).map(|target| endpoint(target, target.div_ceil(2))).collect(),
         );
-        // Each way an attempt can end comes up, by message and time alone.
-        let answer = |now: u64, id: MessageId, a: &Attempt| match id % 41 {
-            _ if now < a.sent_at + (20 + id % 7 * 15) * MILLISECOND => None,
+        // Produces several outcomes, depending on the message id and the time alone.
+        let respond = |now: u64, id: MessageId, attempt: &Attempt| match id % 41 {
+            _ if now < attempt.sent_at + (20 + id % 7 * 15) * MILLISECOND => None,
             0 => None,
             1 => Some((Outcome::Full, 700 * MILLISECOND)),
             2 => Some((Outcome::Full, 0)),
@@ -516,33 +540,37 @@
             _ => Some((Outcome::Ok, 0)),
         };
         for round in 0..150 {
-            for n in 0..3 {
+            for step in 0..3 {
                 harness.submit(round % 2, (round % 3) as u32 + 1, 0);
-                harness.advance((10 + n * 15) * MILLISECOND, answer);
+                harness.advance((10 + step * 15) * MILLISECOND, respond);
             }
             if round == 40 {
                 harness.process(Event::ByHand { target: 5, out: true });
             }
-            if handover && round % 5 == 0 {
-                let left = harness.policy.hand_over().unwrap();
-                harness.policy = DeliveryPolicy::take_over(&left, harness.settings.clone()).unwrap();
+            if takeover && round % 5 == 0 {
+                let state = harness.policy.hand_over().unwrap();
+                harness.policy = DeliveryPolicy::take_over(&state, harness.settings.clone()).unwrap();
             }
         }
-        harness.advance(5 * SECOND, answer);
+        harness.advance(5 * SECOND, respond);
         harness.assert_no_violations();
-        harness.trace.into_iter().filter(|(_, a)| !matches!(a, Action::Log { .. })).collect::<Vec<_>>()
+        harness
+            .trace
+            .into_iter()
+            .filter(|(_, action)| !matches!(action, Action::Log { .. }))
+            .collect::<Vec<_>>()
     };
-    let (alone, handed_over) = (trace(false), trace(true));
-    assert!(alone.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count() > 100);
-    let differ = alone.iter().zip(&handed_over).position(|(a, b)| a != b);
-    assert_eq!(differ.map(|at| (&alone[at], &handed_over[at])), None);
-    assert_eq!(alone.len(), handed_over.len());
+    let (uninterrupted, handed_over) = (trace(false), trace(true));
+    assert!(uninterrupted.iter().filter(|(_, action)| matches!(action, Action::Send { .. })).count() > 100);
+    let first_difference =
+        uninterrupted.iter().zip(&handed_over).position(|(expected, actual)| expected != actual);
+    assert_eq!(first_difference.map(|index| (&uninterrupted[index], &handed_over[index])), None);
+    assert_eq!(uninterrupted.len(), handed_over.len());
 }
 
-/// Found on split+mass of a deployment with a class of a tenth of the other's worth: where both wait at a limit the one of
-/// little worth got nothing.
+/// Where two classes waited at a rate limit and one had a tenth of the other's worth, that one used to get nothing.
 #[test]
-fn a_class_of_little_worth_is_not_served_far_less_than_all() {
+fn a_class_of_low_worth_is_not_starved() {
     let high = Class { worth: 4.0, ..class(Effect::Repeatable) };
     let low = Class {
         worth: 0.4,
@@ -550,20 +578,20 @@
         deadline: 2500 * MILLISECOND,
         ..class(Effect::Repeatable)
     };
-    let s = Settings { listed_rate: ListedRate::Exact, senders: 1, ..settings(vec![high, low]) };
-    let mut harness = PolicyHarness::new(s, vec![Endpoint { rate: 20.0, ..endpoint(1, 1) }]);
-    // Twice what the limit takes, a quarter of it of little worth.
-    let mut sent = [Vec::new(), Vec::new()];
+    let settings = Settings { listed_rate: ListedRate::Exact, senders: 1, ..settings(vec![high, low]) };
+    let mut harness = PolicyHarness::new(settings, vec![Endpoint { rate: 20.0, ..endpoint(1, 1) }]);
+    // Twice the rate limit, a quarter of it of low worth.
+    let mut submitted = [Vec::new(), Vec::new()];
     for _ in 0..300 {
         for class in [0, 0, 0, 1] {
-            sent[class].push(harness.submit(class, 1, 0));
+            submitted[class].push(harness.submit(class, 1, 0));
         }
         harness.advance(100 * MILLISECOND, responds_after(80 * MILLISECOND));
     }
-    let served = |ids: &[MessageId]| ids.iter().filter(|id| harness.messages[id].delivered).count() as f64;
-    let share = |ids: &[MessageId]| served(ids) / ids.len() as f64;
-    let [high, low] = [share(&sent[0]), share(&sent[1])];
-    assert!(low > 0.4 * high, "{low} of the class of little worth, {high} of the other");
-    assert!(high > low, "{low} of the class of little worth, {high} of the other");
+    let delivered = |ids: &[MessageId]| ids.iter().filter(|id| harness.messages[id].delivered).count() as f64;
+    let share = |ids: &[MessageId]| delivered(ids) / ids.len() as f64;
+    let [high, low] = [share(&submitted[0]), share(&submitted[1])];
+    assert!(low > 0.4 * high, "delivered shares: {low} of the class of low worth, {high} of the other");
+    assert!(high > low, "delivered shares: {low} of the class of low worth, {high} of the other");
     harness.assert_no_violations();
 }
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -1,5 +1,5 @@
-//! State is made for destinations that have messages, dropped once they are idle, and made again. What has to outlive
-//! idleness does.
+//! The policy creates state for destinations that have messages, drops it once they are idle, and creates it again. State
+//! that later decisions depend on is kept.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use common::*;
 use hatchline::*;
 
-/// Long enough for a few answers to fade with the deadlines used here.
-const IDLE: u64 = 60 * SECOND;
-/// A span that outlasts it.
-const LONG: u64 = 300 * SECOND;
-const SOON: u64 = SECOND;
+/// Long enough for the record of a few responses to decay, with the deadlines used here.
+const IDLE_SPAN: u64 = 60 * SECOND;
+/// A span that has not ended when [`IDLE_SPAN`] has.
+const LONGER_THAN_IDLE: u64 = 300 * SECOND;
+const SUBMIT_SPAN: u64 = SECOND;
 
 fn short_lived(effect: Effect) -> Class {
     Class { aim: SECOND, deadline: 2 * SECOND, ..class(effect) }
@@ -23,201 +23,210 @@
     Settings { connection_idle: 2 * SECOND, listed_rate: ListedRate::Exact, ..settings }
 }
 
-/// Hands in a message and lets its call end so.
-fn call(harness: &mut PolicyHarness, outcome: Outcome, wait: u64) {
+/// Submits a message and ends its call with this outcome.
+fn make_call(harness: &mut PolicyHarness, outcome: Outcome, wait: u64) {
     let id = harness.submit(0, 1, 0);
     while harness.attempts_in_flight().is_empty() {
-        assert!(harness.messages[&id].ended_at.is_none(), "message {id} is not sent");
+        assert!(harness.messages[&id].ended_at.is_none(), "message {id} has not been sent");
         harness.advance(harness.settings.tick, never_responds);
     }
     harness.end_attempt(id, 0, outcome, wait);
 }
 
-/// Calls made for so many new messages within a second, all served at once.
-fn calls_for(harness: &mut PolicyHarness, messages: usize) -> usize {
+/// The number of calls that are made within a second for so many new messages, each delivered at once.
+fn calls_made_for(harness: &mut PolicyHarness, messages: usize) -> usize {
     let before = harness.attempt_count();
     for _ in 0..messages {
         harness.submit(0, 1, 0);
     }
-    harness.advance(SOON, responds_after(0));
+    harness.advance(SUBMIT_SPAN, responds_after(0));
     harness.attempt_count() - before
 }
 
-/// No call is answered until the breaker opens, and none after that.
-fn go_out(harness: &mut PolicyHarness) {
+/// Leaves all calls without a response, so that the circuit breaker opens and stays open.
+fn open_breaker(harness: &mut PolicyHarness) {
     for _ in 0..4 {
         harness.submit(0, 1, 0);
         harness.advance(10 * SECOND, never_responds);
     }
 }
 
-fn is_kept(harness: &mut PolicyHarness) -> bool {
+fn has_state(harness: &mut PolicyHarness) -> bool {
     harness.policy.active_routes() == 1
 }
 
-fn gets_no_call(harness: &mut PolicyHarness) -> bool {
-    calls_for(harness, 5) == 0
+fn gets_no_calls(harness: &mut PolicyHarness) -> bool {
+    calls_made_for(harness, 5) == 0
 }
 
 #[test]
-fn a_listed_destination_has_state_from_its_first_message_until_it_is_idle() {
-    let lines = (1..=1000).map(|number| endpoint(number, number)).collect();
-    let mut harness = PolicyHarness::new(idle_settings(), lines);
+fn a_destination_has_state_from_its_first_message_until_it_is_idle() {
+    let endpoints = (1..=1000).map(|number| endpoint(number, number)).collect();
+    let mut harness = PolicyHarness::new(idle_settings(), endpoints);
     assert_eq!((harness.policy.active_routes(), harness.policy.pool().listed), (0, 1000));
     for round in 1..=3 {
-        call(&mut harness, Outcome::Ok, 0);
+        make_call(&mut harness, Outcome::Ok, 0);
         assert_eq!(harness.policy.active_routes(), 1, "in round {round}");
-        harness.advance(IDLE, never_responds);
+        harness.advance(IDLE_SPAN, never_responds);
         assert_eq!(harness.policy.active_routes(), 0, "in round {round}");
     }
     assert_eq!(harness.policy.pool(), Pool { listed: 1000, avoided: 0 });
-    assert_eq!(calls_for(&mut harness, 5), 5);
+    assert_eq!(calls_made_for(&mut harness, 5), 5);
     harness.assert_no_violations();
 }
 
-/// What happens, and what must hold after the destination was idle.
+/// What happens before the destination is idle, and what must hold afterwards.
 struct Case {
     name: &'static str,
     settings: fn(&mut Settings),
-    happens: fn(&mut PolicyHarness),
-    outlives: fn(&mut PolicyHarness) -> bool,
+    prepare: fn(&mut PolicyHarness),
+    is_preserved: fn(&mut PolicyHarness) -> bool,
 }
 
 const CASES: [Case; 11] = [
     Case {
-        name: "a told wait",
-        settings: |s| s.rules.tip_after = LONG,
-        happens: |harness| call(harness, Outcome::Ok, LONG),
-        outlives: gets_no_call,
+        name: "a retry-after time",
+        settings: |s| s.rules.tip_after = LONGER_THAN_IDLE,
+        prepare: |harness| make_call(harness, Outcome::Ok, LONGER_THAN_IDLE),
+        is_preserved: gets_no_calls,
+    },
+    Case {
+        name: "an open circuit breaker",
+        settings: |_| {},
+        prepare: open_breaker,
+        is_preserved: has_state,
     },
-    Case { name: "an open breaker", settings: |_| {}, happens: go_out, outlives: is_kept },
     Case {
         name: "a failing route",
         settings: |_| {},
-        happens: |harness| call(harness, Outcome::Reset, 0),
-        outlives: is_kept,
+        prepare: |harness| make_call(harness, Outcome::Reset, 0),
+        is_preserved: has_state,
     },
     Case {
         name: "a slow start",
-        settings: |s| s.rules.ramp_time = LONG,
-        happens: |harness| {
-            go_out(harness);
-            // So many that the share of failures falls under all bounds.
+        settings: |s| s.rules.ramp_time = LONGER_THAN_IDLE,
+        prepare: |harness| {
+            open_breaker(harness);
+            // Enough successes for the failure rate to fall below all thresholds.
             for _ in 0..12 {
                 harness.submit(0, 1, 0);
                 harness.advance(2 * SECOND, responds_after(10 * MILLISECOND));
             }
         },
-        outlives: is_kept,
+        is_preserved: has_state,
     },
     Case {
-        name: "a rate limit that refusals have cut",
+        name: "a rate limit that rejections have lowered",
         settings: |_| {},
-        happens: |harness| {
-            call(harness, Outcome::Full, 0);
-            harness.advance(IDLE, responds_after(0));
+        prepare: |harness| {
+            make_call(harness, Outcome::Full, 0);
+            harness.advance(IDLE_SPAN, responds_after(0));
         },
-        outlives: is_kept,
+        is_preserved: has_state,
     },
     Case {
-        name: "connections to be closed",
+        name: "connections to be closed after use",
         settings: |_| {},
-        happens: |harness| {
-            call(harness, Outcome::TooManyConnections, 0);
-            harness.advance(IDLE, responds_after(0));
+        prepare: |harness| {
+            make_call(harness, Outcome::TooManyConnections, 0);
+            harness.advance(IDLE_SPAN, responds_after(0));
         },
-        outlives: is_kept,
+        is_preserved: has_state,
     },
     Case {
-        name: "a manual exclusion",
+        name: "an endpoint that an operator has disabled",
         settings: |_| {},
-        happens: |harness| {
-            call(harness, Outcome::Ok, 0);
+        prepare: |harness| {
+            make_call(harness, Outcome::Ok, 0);
             harness.process(Event::ByHand { target: 1, out: true });
         },
-        outlives: |harness| harness.policy.active_routes() == 0 && gets_no_call(harness),
+        is_preserved: |harness| harness.policy.active_routes() == 0 && gets_no_calls(harness),
     },
     Case {
-        name: "a re-admission that may be cold",
-        settings: |s| s.rules.ramp_time = LONG,
-        happens: |harness| {
+        name: "an endpoint that was enabled again and may be cold",
+        settings: |s| s.rules.ramp_time = LONGER_THAN_IDLE,
+        prepare: |harness| {
             harness.process(Event::ByHand { target: 1, out: true });
             harness.process(Event::ByHand { target: 1, out: false });
         },
-        outlives: |harness| (1..15).contains(&calls_for(harness, 40)),
+        is_preserved: |harness| (1..15).contains(&calls_made_for(harness, 40)),
     },
     Case {
-        name: "a drain",
+        name: "a draining endpoint",
         settings: |_| {},
-        happens: |harness| {
-            call(harness, Outcome::Ok, 0);
-            let line = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
-            harness.update_list(ListKind::Delta, vec![line]);
+        prepare: |harness| {
+            make_call(harness, Outcome::Ok, 0);
+            let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
+            harness.update_list(ListKind::Delta, vec![draining]);
         },
-        outlives: |harness| harness.policy.active_routes() == 0 && gets_no_call(harness),
+        is_preserved: |harness| harness.policy.active_routes() == 0 && gets_no_calls(harness),
     },
     Case {
-        name: "a removal, against a list of a lower version",
+        name: "a removed endpoint that a list of a lower version still holds",
         settings: |_| {},
-        happens: |harness| {
-            call(harness, Outcome::Ok, 0);
+        prepare: |harness| {
+            make_call(harness, Outcome::Ok, 0);
             harness.update_list(ListKind::Full, vec![endpoint(2, 2)]);
         },
-        outlives: |harness| {
-            let late = Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint(1, 1)] };
-            harness.process(late);
-            !harness.policy.lists(1) && gets_no_call(harness)
+        is_preserved: |harness| {
+            let outdated = Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint(1, 1)] };
+            harness.process(outdated);
+            !harness.policy.lists(1) && gets_no_calls(harness)
         },
     },
     Case {
-        name: "answer times, for some deadlines",
-        settings: |s| s.classes[1].deadline = IDLE,
-        happens: |harness| call(harness, Outcome::Ok, 0),
-        outlives: is_kept,
+        name: "response times, where a class has a long deadline",
+        settings: |s| s.classes[1].deadline = IDLE_SPAN,
+        prepare: |harness| make_call(harness, Outcome::Ok, 0),
+        is_preserved: has_state,
     },
 ];
 
 #[test]
-fn what_has_to_outlive_idleness_does() {
+fn state_that_later_decisions_depend_on_outlives_idleness() {
     for case in CASES {
         let mut settings = idle_settings();
         (case.settings)(&mut settings);
         let mut harness = PolicyHarness::new(settings, vec![Endpoint { rate: 40.0, ..endpoint(1, 1) }]);
-        (case.happens)(&mut harness);
-        harness.advance(IDLE, never_responds);
-        assert!((case.outlives)(&mut harness), "{} does not outlive idleness", case.name);
+        (case.prepare)(&mut harness);
+        harness.advance(IDLE_SPAN, never_responds);
+        assert!((case.is_preserved)(&mut harness), "{}: lost while the destination was idle", case.name);
         harness.assert_no_violations();
     }
 }
 
-/// A removed endpoint costs no more than its name, and is new if a later list has it again.
+/// Of a removed endpoint only the id is kept. If a later list has it again, it counts as new.
 #[test]
-fn a_removed_endpoint_comes_back_with_a_later_list() {
+fn a_removed_endpoint_is_used_again_once_a_later_list_has_it() {
     let mut harness = PolicyHarness::new(idle_settings(), vec![endpoint(1, 1), endpoint(2, 1)]);
-    call(&mut harness, Outcome::Ok, 0);
+    make_call(&mut harness, Outcome::Ok, 0);
     harness.update_list(ListKind::Full, vec![endpoint(2, 1)]);
-    harness.advance(IDLE, never_responds);
+    harness.advance(IDLE_SPAN, never_responds);
     assert_eq!(harness.policy.pool().listed, 1);
     harness.update_list(ListKind::Full, vec![endpoint(1, 1)]);
-    assert_eq!((calls_for(&mut harness, 5), harness.policy.pool().listed), (5, 1));
-    assert!(harness.messages.values().rev().take(5).all(|m| m.attempts[0].target == 1));
+    assert_eq!((calls_made_for(&mut harness, 5), harness.policy.pool().listed), (5, 1));
+    assert!(harness.messages.values().rev().take(5).all(|message| message.attempts[0].target == 1));
     harness.assert_no_violations();
 }
 
-/// Deadlines so short and pauses so long that state is dropped and made again all the time.
+/// Deadlines are so short and pauses so long that state is dropped and created again all the time.
 #[test]
-fn every_rule_is_kept_while_state_is_dropped_and_made_again() {
+fn every_rule_holds_while_state_is_dropped_and_created_again() {
     const SPARSE: TrafficProfile =
         TrafficProfile { deadline: 2 * SECOND, pause_unit: 40 * MILLISECOND, limits_connections: false };
-    let mut least = usize::MAX;
+    let mut fewest = usize::MAX;
     for seed in 0..60 {
         let harness = run_traffic(seed, SPARSE);
         harness.assert_no_violations();
-        let open: Vec<_> =
-            harness.messages.iter().filter(|(_, m)| m.ended_at.is_none()).map(|(id, _)| *id).collect();
-        assert!(open.is_empty(), "seed {seed}: never ended: {open:?}");
-        least = least.min(harness.policy.active_routes());
+        let open: Vec<_> = harness
+            .messages
+            .iter()
+            .filter(|(_, message)| message.ended_at.is_none())
+            .map(|(id, _)| *id)
+            .collect();
+        assert!(open.is_empty(), "seed {seed}: messages never ended: {open:?}");
+        fewest = fewest.min(harness.policy.active_routes());
     }
-    // Of some thirty that had messages. What is in trouble is kept.
-    assert!(least < 10, "{least} routes with state at the least");
+    // Some thirty routes had messages. Those that fail or are limited keep their state.
+    assert!(fewest < 10, "each run leaves at least {fewest} routes with state");
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,21 +1,27 @@
-//! Random but seeded sequences of legal events; every action is checked against the rules.
+//! Property tests: random but seeded sequences of valid events, with every action checked against the delivery rules.
 
 mod common;
 
 use common::steps::{run_cases, run_steps};
 
 #[test]
-fn every_rule_is_kept_and_every_message_ends() {
-    run_cases(150, |steps, batch| {
-        let harness = run_steps(&steps, batch);
+fn every_rule_holds_and_every_message_ends() {
+    run_cases(150, |steps, batch_size| {
+        let harness = run_steps(&steps, batch_size);
         harness.assert_no_violations();
-        let open: Vec<_> =
-            harness.messages.iter().filter(|(_, m)| m.ended_at.is_none()).map(|(id, _)| *id).collect();
-        assert!(open.is_empty(), "never ended: {open:?}");
+        let open: Vec<_> = harness
+            .messages
+            .iter()
+            .filter(|(_, message)| message.ended_at.is_none())
+            .map(|(id, _)| *id)
+            .collect();
+        assert!(open.is_empty(), "messages never ended: {open:?}");
     });
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    run_cases(30, |steps, batch| assert_eq!(run_steps(&steps, batch).trace, run_steps(&steps, batch).trace));
+    run_cases(30, |steps, batch_size| {
+        assert_eq!(run_steps(&steps, batch_size).trace, run_steps(&steps, batch_size).trace)
+    });
 }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -1,9 +1,9 @@
-//! Recorded runs: the same events have to give the same actions as on the day of the recording, in which the state of
-//! all listed destinations was kept and gone over at each decision. `tests/fixtures/actions.txt` holds a line a run:
-//! its name, how many actions it gave, and a checksum of them with their times.
+//! Recorded runs: the same events must lead to the same actions as when the runs were recorded. At that time, the policy
+//! kept the state of all listed destinations and went through it at each decision. `tests/fixtures/actions.txt` holds one
+//! line per run: its name, the number of actions, and a checksum of the actions with their times.
 //!
-//! A commit that changes decisions on purpose, and says so, records anew:
-//! `RECORD_ACTIONS=1 cargo test --test same_actions`. One that is about cost or layout must not.
+//! A commit that changes decisions on purpose, and says so, records the runs again:
+//! `RECORD_ACTIONS=1 cargo test --test same_actions`. One that changes only performance or structure must not.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use common::PolicyHarness;
 use std::cell::RefCell;
 
-const RECORDING: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/actions.txt");
-/// Runs of the kind of `tests/properties.rs`, and runs over many destinations.
+const RECORDING_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/actions.txt");
+/// The number of runs as in `tests/properties.rs`, and of longer runs over many destinations.
 const SHORT_RUNS: u32 = 120;
 const TRAFFIC_RUNS: u64 = 120;
 
@@ -24,9 +24,9 @@
 
 fn short_runs() -> String {
     let lines = RefCell::new(Vec::new());
-    run_cases(SHORT_RUNS, |steps, batch| {
+    run_cases(SHORT_RUNS, |steps, batch_size| {
         let name = format!("short-{}", lines.borrow().len());
-        lines.borrow_mut().push(summary(&name, &run_steps(&steps, batch)));
+        lines.borrow_mut().push(summary(&name, &run_steps(&steps, batch_size)));
     });
     lines.into_inner().concat()
 }
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn recorded_runs_give_the_recorded_actions() {
+fn runs_repeat_the_recorded_actions() {
     let actions = short_runs() + &traffic_runs();
     if std::env::var_os("RECORD_ACTIONS").is_some() {
-        std::fs::write(RECORDING, &actions).unwrap();
+        std::fs::write(RECORDING_PATH, &actions).unwrap();
     }
-    let recorded = std::fs::read_to_string(RECORDING).unwrap();
+    let recorded = std::fs::read_to_string(RECORDING_PATH).unwrap();
     let pairs = recorded.lines().zip(actions.lines());
-    let differing: Vec<_> = pairs.filter(|(recorded, now)| recorded != now).collect();
-    assert!(differing.is_empty(), "{} runs differ, recorded and now: {differing:#?}", differing.len());
+    let differing: Vec<_> = pairs.filter(|(recorded, actual)| recorded != actual).collect();
+    assert!(differing.is_empty(), "{} runs differ (recorded, actual): {differing:#?}", differing.len());
     assert_eq!(recorded.lines().count(), actions.lines().count());
 }
