--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,155 +1,157 @@
-//! Many senders and an endpoint that takes few connections, idle ones counted. How many it takes is told nowhere: a
-//! connection beyond them is answered once, with a refusal, and closed.
+//! Many replicas and an endpoint that accepts few connections, idle ones included. Its limit is listed nowhere: a connection
+//! above it gets one response, a rejection, and is closed.
 
 mod common;
 
 use common::*;
 use hatchline::*;
 
-/// Time between two rounds of all senders.
-const ROUND: u64 = 10 * MILLISECOND;
-/// How long a connection takes to come up, and a call on it; a connection that is turned away takes the former.
-const HANDSHAKE: u64 = 50 * MILLISECOND;
-const CALL: u64 = 100 * MILLISECOND;
+/// Interval at which all replicas decide.
+const STEP: u64 = 10 * MILLISECOND;
+/// Time to establish a connection and time of a call on it. A rejected connection takes the former.
+const CONNECT_TIME: u64 = 50 * MILLISECOND;
+const CALL_TIME: u64 = 100 * MILLISECOND;
 
-/// A call: sender, message, attempt, when it began and ends, and whether the endpoint has a place for it.
-type Out = (usize, MessageId, u32, u64, u64, bool);
+/// A call: replica, message, attempt, when it began, when it ends, and whether the endpoint accepted its connection.
+type Call = (usize, MessageId, u32, u64, u64, bool);
 
-struct Crowd {
+/// Replicas of one fleet that share an endpoint with a connection limit.
+struct ConnectionLimitedFleet {
     now: u64,
-    places: usize,
-    senders: Vec<DeliveryPolicy>,
-    attempts: Vec<u32>,
-    out: Vec<Out>,
-    /// Idle connections of each sender: since when.
-    idle: Vec<Vec<u64>>,
+    connection_limit: usize,
+    replicas: Vec<DeliveryPolicy>,
+    attempt_counts: Vec<u32>,
+    in_flight: Vec<Call>,
+    /// For each replica, since when each of its idle connections has been idle.
+    idle_since: Vec<Vec<u64>>,
     connection_idle: u64,
-    opened: usize,
-    served: usize,
+    connections_opened: usize,
+    delivered: usize,
 }
 
-impl Crowd {
-    fn new(senders: usize, places: usize) -> Crowd {
+impl ConnectionLimitedFleet {
+    fn new(replicas: usize, connection_limit: usize) -> ConnectionLimitedFleet {
         let class =
             Class { aim: 2 * SECOND, deadline: 9 * SECOND, window: 9 * SECOND, ..class(Effect::Keyed) };
         let settings = Settings {
-            senders: senders as u32,
+            senders: replicas as u32,
             slots: 4,
             max_attempts: 4,
             connection_idle: 8 * SECOND,
             ..settings(vec![class])
         };
         let connection_idle = settings.connection_idle;
-        let mut crowd = Crowd {
+        let mut fleet = ConnectionLimitedFleet {
             now: 5 * SECOND,
-            places,
-            senders: (0..senders)
-                .map(|n| DeliveryPolicy::new(5 * SECOND, n as u64 * 7919 + 1, settings.clone()))
+            connection_limit,
+            replicas: (0..replicas)
+                .map(|index| DeliveryPolicy::new(5 * SECOND, index as u64 * 7919 + 1, settings.clone()))
                 .collect(),
-            attempts: Vec::new(),
-            out: Vec::new(),
-            idle: vec![Vec::new(); senders],
+            attempt_counts: Vec::new(),
+            in_flight: Vec::new(),
+            idle_since: vec![Vec::new(); replicas],
             connection_idle,
-            opened: 0,
-            served: 0,
+            connections_opened: 0,
+            delivered: 0,
         };
-        for policy in &mut crowd.senders {
+        for policy in &mut fleet.replicas {
             let list = Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint(1, 1)] };
-            policy.handle(crowd.now, list, &mut Vec::new());
+            policy.handle(fleet.now, list, &mut Vec::new());
         }
-        crowd
+        fleet
     }
 
-    fn submit(&mut self, sender: usize) {
-        let (id, expires) = (self.attempts.len() as MessageId, self.now + 9 * SECOND);
-        self.attempts.push(0);
+    fn submit(&mut self, replica: usize) {
+        let (id, expires) = (self.attempt_counts.len() as MessageId, self.now + 9 * SECOND);
+        self.attempt_counts.push(0);
         let request = Event::Request { id, class: 0, destination: 1, order_key: 0, expires };
-        self.senders[sender].handle(self.now, request, &mut Vec::new());
+        self.replicas[replica].handle(self.now, request, &mut Vec::new());
     }
 
-    fn carry_out(&mut self, sender: usize, actions: Vec<Action>) {
+    fn execute(&mut self, replica: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, .. } => {
-                    let attempt = self.attempts[id as usize];
-                    self.attempts[id as usize] += 1;
-                    let open = self.idle.iter().map(Vec::len).sum::<usize>()
-                        + self.out.iter().filter(|o| o.5).count();
-                    let kept = self.idle[sender].pop().is_some();
-                    let (has_place, took) = match kept {
-                        true => (true, CALL),
-                        false if open < self.places => (true, HANDSHAKE + CALL),
-                        false => (false, HANDSHAKE),
+                    let attempt = self.attempt_counts[id as usize];
+                    self.attempt_counts[id as usize] += 1;
+                    let open = self.idle_since.iter().map(Vec::len).sum::<usize>()
+                        + self.in_flight.iter().filter(|call| call.5).count();
+                    let reused = self.idle_since[replica].pop().is_some();
+                    let (accepted, took) = match reused {
+                        true => (true, CALL_TIME),
+                        false if open < self.connection_limit => (true, CONNECT_TIME + CALL_TIME),
+                        false => (false, CONNECT_TIME),
                     };
-                    self.opened += usize::from(!kept && has_place);
-                    self.out.push((sender, id, attempt, self.now, self.now + took, has_place));
+                    self.connections_opened += usize::from(!reused && accepted);
+                    self.in_flight.push((replica, id, attempt, self.now, self.now + took, accepted));
                 }
-                Action::CloseIdle { .. } => self.idle[sender].clear(),
+                Action::CloseIdle { .. } => self.idle_since[replica].clear(),
                 _ => {}
             }
         }
     }
 
-    fn round(&mut self) {
-        self.now += ROUND;
+    fn step(&mut self) {
+        self.now += STEP;
         let now = self.now;
-        let longest = self.connection_idle;
-        self.idle.iter_mut().for_each(|idle| idle.retain(|since| now < since + longest));
-        let (ended, out): (Vec<Out>, _) = self.out.iter().partition(|o| o.4 <= now);
-        self.out = out;
-        for (sender, id, attempt, at, _, has_place) in ended {
-            self.served += usize::from(has_place);
-            if has_place {
-                self.idle[sender].push(now);
+        let idle_timeout = self.connection_idle;
+        self.idle_since.iter_mut().for_each(|idle| idle.retain(|since| now < since + idle_timeout));
+        let (ended, remaining): (Vec<Call>, _) = self.in_flight.iter().partition(|call| call.4 <= now);
+        self.in_flight = remaining;
+        for (replica, id, attempt, at, _, accepted) in ended {
+            self.delivered += usize::from(accepted);
+            if accepted {
+                self.idle_since[replica].push(now);
             }
-            let outcome = if has_place { Outcome::Ok } else { Outcome::TooManyConnections };
-            let (took, ended) = (now - at, has_place);
+            let outcome = if accepted { Outcome::Ok } else { Outcome::TooManyConnections };
+            let (took, ended) = (now - at, accepted);
             let event =
                 Event::Outcome { id, attempt, target: 1, outcome, took, ended, wait: 0, report: None };
             let mut actions = Vec::new();
-            self.senders[sender].handle(now, event, &mut actions);
-            self.carry_out(sender, actions);
+            self.replicas[replica].handle(now, event, &mut actions);
+            self.execute(replica, actions);
         }
-        for sender in 0..self.senders.len() {
+        for replica in 0..self.replicas.len() {
             let mut actions = Vec::new();
-            self.senders[sender].decide(now, &mut actions);
-            self.carry_out(sender, actions);
+            self.replicas[replica].decide(now, &mut actions);
+            self.execute(replica, actions);
         }
     }
 
-    /// So many messages a second, dealt out at random, for a span; the share of them that is served.
-    fn share_served(&mut self, a_second: f64, span: u64) -> f64 {
-        let (before, mut handed_in, mut owed) = (self.served, 0, 0.0);
-        for _ in 0..span / ROUND {
-            owed += a_second * ROUND as f64 / SECOND as f64;
-            while owed >= 1.0 {
-                owed -= 1.0;
-                handed_in += 1;
-                // A step that has no factor in common with the number of senders meets each in turn.
-                self.submit(handed_in * 37 % self.senders.len());
+    /// Submits so many messages per second for a span, spread over the replicas, and returns the delivered share of them.
+    fn delivered_share(&mut self, messages_per_second: f64, span: u64) -> f64 {
+        let (before, mut submitted, mut due) = (self.delivered, 0, 0.0);
+        for _ in 0..span / STEP {
+            due += messages_per_second * STEP as f64 / SECOND as f64;
+            while due >= 1.0 {
+                due -= 1.0;
+                submitted += 1;
+                // 37 has no factor in common with the number of replicas, so that each of them gets its turn.
+                self.submit(submitted * 37 % self.replicas.len());
             }
-            self.round();
+            self.step();
         }
-        (self.served - before) as f64 / handed_in as f64
+        (self.delivered - before) as f64 / submitted as f64
     }
 }
 
-/// Found on a fleet of 279 whose class for such destinations was hardly served: those that came first kept their
-/// connections, idle most of the time, and all others were turned away and waited as after refusals of a limit.
+/// In a fleet of 279, messages to such destinations were hardly delivered: the first replicas to connect kept their
+/// connections, idle most of the time, while the connections of all others were rejected, and these backed off as after
+/// rejections by a rate limit.
 #[test]
-fn a_fleet_shares_the_few_connections_of_an_endpoint() {
-    let mut crowd = Crowd::new(100, 16);
-    crowd.share_served(60.0, 20 * SECOND);
-    let share = crowd.share_served(60.0, 20 * SECOND);
+fn replicas_share_the_few_connections_of_an_endpoint() {
+    let mut fleet = ConnectionLimitedFleet::new(100, 16);
+    fleet.delivered_share(60.0, 20 * SECOND);
+    let share = fleet.delivered_share(60.0, 20 * SECOND);
     assert!(share > 0.8, "{share}");
 }
 
-/// Where there is room for all, connections are kept: each new one has its price.
+/// Where the limit suffices for all replicas, connections are kept open, since each new one has a cost.
 #[test]
-fn connections_are_kept_where_the_endpoint_has_room_for_all() {
-    let mut crowd = Crowd::new(20, 1000);
-    let share = crowd.share_served(60.0, 40 * SECOND);
+fn connections_are_kept_where_the_limit_suffices_for_all() {
+    let mut fleet = ConnectionLimitedFleet::new(20, 1000);
+    let share = fleet.delivered_share(60.0, 40 * SECOND);
     assert!(share > 0.95, "{share}");
-    let each = crowd.opened as f64 / crowd.served as f64;
-    assert!(each < 0.15, "{each} connections opened for each message");
+    let per_message = fleet.connections_opened as f64 / fleet.delivered as f64;
+    assert!(per_message < 0.15, "{per_message} connections opened per message");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many senders that share nothing: what is harmless for each alone must stay so when all do it. They are told the
-//! same things by hand, and what they send together is counted.
+//! Fleets of replicas that share no state: what is harmless for each alone must stay so when all of them do it. The tests
+//! pass the same events to all replicas and count the calls that these make together.
 
 mod common;
 
@@ -7,81 +7,89 @@
 use hatchline::*;
 use std::collections::BTreeSet;
 
-/// Time between two rounds of all senders.
-const ROUND: u64 = 10 * MILLISECOND;
+/// Interval at which all replicas decide.
+const STEP: u64 = 10 * MILLISECOND;
 
-/// Senders of one fleet, each with its own seed, that have one destination.
+/// Replicas of one fleet, each with its own seed, that share one destination.
 struct Fleet {
     now: u64,
-    senders: Vec<DeliveryPolicy>,
-    /// Calls out: sender, message, attempt, time of the send.
+    replicas: Vec<DeliveryPolicy>,
+    /// Calls in flight: replica, message, attempt, when it was sent.
     calls: Vec<(usize, MessageId, u32, u64)>,
-    attempts: Vec<u32>,
-    /// How often idle connections were shut.
-    closed: usize,
+    attempt_counts: Vec<u32>,
+    /// How often the replicas closed idle connections.
+    idle_closes: usize,
     settings: Settings,
     endpoints: Vec<Endpoint>,
 }
 
 impl Fleet {
-    fn new(senders: u32, limit: f64) -> Fleet {
+    fn new(replicas: u32, limit: f64) -> Fleet {
         let class =
             Class { aim: 3 * SECOND, deadline: 12 * SECOND, window: 12 * SECOND, ..class(Effect::Keyed) };
         let settings = Settings {
-            senders,
+            senders: replicas,
             slots: 4,
             listed_rate: ListedRate::Exact,
             refused_price: 0.1,
             ..settings(vec![class])
         };
         let now = 5 * SECOND;
-        let born = |n: u32| DeliveryPolicy::new(now, u64::from(n) * 7919 + 1, settings.clone());
-        let senders = (0..senders).map(born).collect();
+        let new_policy = |index: u32| DeliveryPolicy::new(now, u64::from(index) * 7919 + 1, settings.clone());
+        let replicas = (0..replicas).map(new_policy).collect();
         let endpoints = vec![Endpoint { rate: limit, ..endpoint(1, 1) }];
-        let (calls, attempts) = (Vec::new(), Vec::new());
-        let mut fleet =
-            Fleet { now, senders, calls, attempts, closed: 0, settings, endpoints: endpoints.clone() };
-        fleet.tell(|_| Event::List { kind: ListKind::Full, version: 1, endpoints: endpoints.clone() });
+        let (calls, attempt_counts) = (Vec::new(), Vec::new());
+        let mut fleet = Fleet {
+            now,
+            replicas,
+            calls,
+            attempt_counts,
+            idle_closes: 0,
+            settings,
+            endpoints: endpoints.clone(),
+        };
+        fleet.notify_all(|_| Event::List { kind: ListKind::Full, version: 1, endpoints: endpoints.clone() });
         fleet
     }
 
-    fn tell(&mut self, event: impl Fn(usize) -> Event) {
-        for (n, policy) in self.senders.iter_mut().enumerate() {
-            policy.handle(self.now, event(n), &mut Vec::new());
+    /// Passes an event to each replica.
+    fn notify_all(&mut self, event: impl Fn(usize) -> Event) {
+        for (replica, policy) in self.replicas.iter_mut().enumerate() {
+            policy.handle(self.now, event(replica), &mut Vec::new());
         }
     }
 
-    /// Hands a sender so many messages.
-    fn submit(&mut self, sender: usize, messages: usize) {
+    /// Submits so many messages to a replica.
+    fn submit(&mut self, replica: usize, messages: usize) {
         let expires = self.now + 12 * SECOND;
         for _ in 0..messages {
-            let id = self.attempts.len() as MessageId;
-            self.attempts.push(0);
+            let id = self.attempt_counts.len() as MessageId;
+            self.attempt_counts.push(0);
             let request = Event::Request { id, class: 0, destination: 1, order_key: 0, expires };
-            self.senders[sender].handle(self.now, request, &mut Vec::new());
+            self.replicas[replica].handle(self.now, request, &mut Vec::new());
         }
     }
 
-    /// A sender dies and comes back with nothing but the list.
-    fn restart(&mut self, sender: usize) {
-        self.calls.retain(|c| c.0 != sender);
-        let mut policy = DeliveryPolicy::new(self.now, self.now + sender as u64, self.settings.clone());
+    /// Restarts a replica that keeps nothing but the endpoint list.
+    fn restart(&mut self, replica: usize) {
+        self.calls.retain(|call| call.0 != replica);
+        let mut policy = DeliveryPolicy::new(self.now, self.now + replica as u64, self.settings.clone());
         let list = Event::List { kind: ListKind::Full, version: 1, endpoints: self.endpoints.clone() };
         policy.handle(self.now, list, &mut Vec::new());
-        self.senders[sender] = policy;
+        self.replicas[replica] = policy;
     }
 
-    /// Lets all senders decide once, and gives how many calls they make.
-    fn round(&mut self) -> usize {
-        self.now += ROUND;
+    /// Lets all replicas decide once and returns how many calls they make.
+    fn step(&mut self) -> usize {
+        self.now += STEP;
         let before = self.calls.len();
-        for (n, policy) in self.senders.iter_mut().enumerate() {
+        for (replica, policy) in self.replicas.iter_mut().enumerate() {
             let mut actions = Vec::new();
             policy.decide(self.now, &mut actions);
             for action in actions {
                 if let Action::Send { id, .. } = action {
-                    let attempt = &mut self.attempts[id as usize];
-                    self.calls.push((n, id, *attempt, self.now));
+                    let attempt = &mut self.attempt_counts[id as usize];
+                    self.calls.push((replica, id, *attempt, self.now));
                     *attempt += 1;
                 }
             }
@@ -89,123 +97,129 @@
         self.calls.len() - before
     }
 
-    /// Ends all calls that have been out for 100 ms.
-    fn answer(&mut self, outcome: Outcome) {
+    /// Ends all calls that have been in flight for 100 ms.
+    fn end_due_calls(&mut self, outcome: Outcome) {
         let due = self.now - 100 * MILLISECOND;
-        let (ended, out) = self.calls.iter().partition(|(.., at)| *at <= due);
-        self.calls = out;
-        for (n, id, attempt, at) in Vec::from_iter::<Vec<_>>(ended) {
+        let (ended, remaining) = self.calls.iter().partition(|(.., at)| *at <= due);
+        self.calls = remaining;
+        for (replica, id, attempt, at) in Vec::from_iter::<Vec<_>>(ended) {
             let (took, ended) = (self.now - at, outcome == Outcome::Ok);
             let event =
                 Event::Outcome { id, attempt, target: 1, outcome, took, ended, wait: 0, report: None };
             let mut actions = Vec::new();
-            self.senders[n].handle(self.now, event, &mut actions);
-            self.closed += actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
+            self.replicas[replica].handle(self.now, event, &mut actions);
+            self.idle_closes +=
+                actions.iter().filter(|action| matches!(action, Action::CloseIdle { .. })).count();
         }
     }
 
-    /// Calls of all in the given span, each answered so after 100 ms.
-    fn sent_in(&mut self, span: u64, outcome: Outcome) -> usize {
-        let rounds = 0..span / ROUND;
-        rounds.map(|_| (self.answer(outcome), self.round()).1).sum()
+    /// The number of calls of all replicas within a span. Each call ends with the outcome after 100 ms.
+    fn calls_within(&mut self, span: u64, outcome: Outcome) -> usize {
+        let steps = 0..span / STEP;
+        steps.map(|_| (self.end_due_calls(outcome), self.step()).1).sum()
     }
 }
 
-/// Refused calls use the limit up: a fleet that went on above it would never be served.
+/// Rejected calls count against the rate limit: a fleet that stayed above it would never deliver anything.
 #[test]
-fn a_fleet_that_was_refused_keeps_to_the_listed_limit() {
+fn a_fleet_keeps_to_the_listed_limit_after_rejections() {
     let mut fleet = Fleet::new(100, 25.0);
-    // One after the other gets its messages within a second, tries, and is refused.
-    for n in 0..100 {
-        fleet.submit(n, 6);
-        fleet.sent_in(ROUND, Outcome::Full);
+    // Within a second, each replica in turn gets messages, makes a call and is rejected.
+    for replica in 0..100 {
+        fleet.submit(replica, 6);
+        fleet.calls_within(STEP, Outcome::Full);
     }
-    fleet.sent_in(200 * MILLISECOND, Outcome::Full);
-    let seconds: Vec<usize> = (0..8).map(|_| fleet.sent_in(SECOND, Outcome::Ok)).collect();
+    fleet.calls_within(200 * MILLISECOND, Outcome::Full);
+    let seconds: Vec<usize> = (0..8).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
     let all: usize = seconds.iter().sum();
-    // The limit in eight seconds, to a quarter.
+    // What the limit allows in eight seconds, give or take a quarter.
     assert!((150..=250).contains(&all), "{seconds:?}");
 }
 
-/// Found on fleets of 300: after a kill two hundred came back with what they held, and each made a call at once to
-/// destinations of 30 calls a second. Refused calls use the limit up, so none was served for seconds.
+/// In fleets of 300, two hundred replicas were restarted after a crash with the messages that they held, and each made a
+/// call at once to destinations that allow 30 calls per second. Rejected calls count against the limit, so that nothing was
+/// delivered for seconds.
 #[test]
-fn a_fleet_that_begins_with_what_it_held_keeps_to_the_listed_limit() {
+fn a_fleet_that_starts_with_a_backlog_keeps_to_the_listed_limit() {
     let mut fleet = Fleet::new(300, 60.0);
-    (0..300).for_each(|n| fleet.submit(n, 5));
-    let seconds: Vec<usize> = (0..4).map(|_| fleet.sent_in(SECOND, Outcome::Ok)).collect();
-    // The limit, and what chance and the first raises of the pace add.
+    (0..300).for_each(|replica| fleet.submit(replica, 5));
+    let seconds: Vec<usize> = (0..4).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
+    // The limit, with random variation and the first increases of the rate limits.
     assert!(seconds.iter().all(|n| (30..=90).contains(n)), "{seconds:?}");
 }
 
-/// Those that were refused at one moment would all come again at one moment.
+/// Replicas that were rejected at the same moment must not all retry at the same moment.
 #[test]
-fn a_fleet_that_was_refused_at_once_does_not_come_again_at_once() {
+fn a_fleet_that_was_rejected_at_once_does_not_retry_at_once() {
     let mut fleet = Fleet::new(100, 25.0);
-    (0..100).for_each(|n| fleet.submit(n, 6));
-    fleet.sent_in(200 * MILLISECOND, Outcome::Full);
-    // What the first pause after a refusal lets through is over by then.
-    fleet.sent_in(2 * SECOND, Outcome::Ok);
-    let seconds: Vec<usize> = (0..6).map(|_| fleet.sent_in(SECOND, Outcome::Ok)).collect();
+    (0..100).for_each(|replica| fleet.submit(replica, 6));
+    fleet.calls_within(200 * MILLISECOND, Outcome::Full);
+    // The calls that the first pause after a rejection lets through are over by then.
+    fleet.calls_within(2 * SECOND, Outcome::Ok);
+    let seconds: Vec<usize> = (0..6).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
     assert!(seconds.iter().all(|n| *n <= 50), "{seconds:?}");
 }
 
-/// Each sends seldom: after a rest two calls of one sender are no more than chance, and need not wait for each other.
+/// Each replica sends rarely: after an idle time, two calls of one replica are within random variation, and the second need
+/// not wait for the first.
 #[test]
-fn a_sender_of_a_large_fleet_saves_up_calls() {
+fn a_replica_of_a_large_fleet_saves_up_calls() {
     let mut fleet = Fleet::new(100, 25.0);
     fleet.submit(0, 1);
-    fleet.sent_in(200 * MILLISECOND, Outcome::Full);
-    fleet.sent_in(30 * SECOND, Outcome::Ok);
+    fleet.calls_within(200 * MILLISECOND, Outcome::Full);
+    fleet.calls_within(30 * SECOND, Outcome::Ok);
     fleet.submit(0, 2);
-    assert_eq!(fleet.sent_in(500 * MILLISECOND, Outcome::Ok), 2);
+    assert_eq!(fleet.calls_within(500 * MILLISECOND, Outcome::Ok), 2);
 }
 
-/// A limit that was lowered for some seconds is used again soon, though each sender has few answers to learn it from.
+/// A limit that was lowered for some seconds is used in full again soon, although each replica has few responses to learn
+/// that from.
 #[test]
-fn a_fleet_comes_back_to_the_listed_limit() {
+fn a_fleet_returns_to_the_listed_limit() {
     let mut fleet = Fleet::new(100, 200.0);
-    (0..100).for_each(|n| fleet.submit(n, 10));
-    fleet.sent_in(9 * SECOND, Outcome::Full);
-    (0..100).for_each(|n| fleet.submit(n, 30));
-    fleet.sent_in(5 * SECOND, Outcome::Ok);
-    let sent = fleet.sent_in(5 * SECOND, Outcome::Ok);
-    // Of the thousand that the limit takes in this span.
+    (0..100).for_each(|replica| fleet.submit(replica, 10));
+    fleet.calls_within(9 * SECOND, Outcome::Full);
+    (0..100).for_each(|replica| fleet.submit(replica, 30));
+    fleet.calls_within(5 * SECOND, Outcome::Ok);
+    let sent = fleet.calls_within(5 * SECOND, Outcome::Ok);
+    // The limit allows a thousand calls in this span.
     assert!((700..=1100).contains(&sent), "{sent}");
 }
 
-/// What is out denies connections, but its table is not full: once it is back, cold, a handshake for each call is harm.
+/// A destination that is down accepts no connections, but not because of a connection limit. Once it is back and still cold,
+/// a handshake for each call would be an extra load.
 #[test]
-fn connections_are_kept_to_what_was_out() {
+fn connections_to_a_destination_that_was_down_are_kept() {
     let mut fleet = Fleet::new(2, 25.0);
     for outcome in [Outcome::ConnectFailed, Outcome::Ok] {
         (0..5).for_each(|_| {
             fleet.submit(0, 5);
-            fleet.sent_in(SECOND, outcome);
+            fleet.calls_within(SECOND, outcome);
         });
     }
-    fleet.closed = 0;
+    fleet.idle_closes = 0;
     fleet.submit(0, 5);
-    assert!(fleet.sent_in(5 * SECOND, Outcome::Ok) >= 5);
-    assert_eq!(fleet.closed, 0);
+    assert!(fleet.calls_within(5 * SECOND, Outcome::Ok) >= 5);
+    assert_eq!(fleet.idle_closes, 0);
 }
 
-/// Answers that the pace did not hold up say nothing of what the destination takes beyond its listed limit.
+/// Responses to calls that the rate limit did not delay do not show whether the destination allows more than its listed
+/// limit.
 #[test]
-fn light_traffic_does_not_raise_the_pace() {
+fn light_traffic_does_not_raise_the_rate_limit() {
     let mut fleet = Fleet::new(100, 200.0);
     for _ in 0..40 {
-        (0..100).for_each(|n| fleet.submit(n, 1));
-        fleet.sent_in(SECOND, Outcome::Ok);
+        (0..100).for_each(|replica| fleet.submit(replica, 1));
+        fleet.calls_within(SECOND, Outcome::Ok);
     }
-    (0..100).for_each(|n| fleet.submit(n, 40));
-    let sent = fleet.sent_in(3 * SECOND, Outcome::Ok);
-    // Three seconds of the limit, and what each had saved up.
+    (0..100).for_each(|replica| fleet.submit(replica, 40));
+    let sent = fleet.calls_within(3 * SECOND, Outcome::Ok);
+    // What the limit allows in three seconds, and the calls that each replica had saved up.
     assert!((600..=1500).contains(&sent), "{sent}");
 }
 
-/// A destination gets 20 messages a second and is out for 5 s; gives the calls of each second since.
-fn after_an_outage(limit: f64) -> Vec<usize> {
+/// Calls in each second after an outage of 5 s, at a destination that gets 20 messages per second.
+fn calls_after_outage(limit: f64) -> Vec<usize> {
     let mut fleet = Fleet::new(100, limit);
     let mut sent = Vec::new();
     for second in 0..20 {
@@ -213,102 +227,109 @@
         sent.push(0);
         for tenth in 0..10 {
             let next = (second * 10 + tenth) * 2 % 100;
-            [next, next + 1].into_iter().for_each(|n| fleet.submit(n, 1));
-            sent[second] += fleet.sent_in(SECOND / 10, outcome);
+            [next, next + 1].into_iter().for_each(|replica| fleet.submit(replica, 1));
+            sent[second] += fleet.calls_within(SECOND / 10, outcome);
         }
     }
     sent.split_off(10)
 }
 
-/// Trials are few enough together for what is cold, and no fewer: by its own traffic alone a sender comes too seldom.
+/// The half-open probes of all replicas together are few enough for a cold destination, but not fewer: the traffic of one
+/// replica alone would make its probes too rare.
 #[test]
-fn a_fleet_finds_out_soon_that_a_destination_is_back() {
-    let sent: usize = after_an_outage(100.0).iter().take(4).sum();
+fn a_fleet_soon_notices_that_a_destination_is_back() {
+    let sent: usize = calls_after_outage(100.0).iter().take(4).sum();
     assert!((110..=170).contains(&sent), "{sent}");
 }
 
-/// Each hears of the return by its own trial, most of them late; the slow start of all is not to wait for that.
+/// Each replica learns of the return by its own probe, most of them late; the fleet's slow start must not wait for them.
 #[test]
-fn the_slow_start_of_a_fleet_does_not_begin_anew_with_each_sender() {
-    let sent: usize = after_an_outage(25.0).iter().skip(5).take(4).sum();
+fn the_slow_start_of_a_fleet_does_not_restart_with_each_replica() {
+    let sent: usize = calls_after_outage(25.0).iter().skip(5).take(4).sum();
     assert!((70..=110).contains(&sent), "{sent}");
 }
 
-/// What a destination that was out may get in the tip time, by the terms: a budget of what the settings allow what is
-/// cold then, and twice its root and two for chance, for the sum of all senders.
-fn allowed_when_cold(limit: f64, since: u64, rules: &Rules) -> f64 {
-    let warm = rules.cold_from + (1.0 - rules.cold_from) * (since as f64 / rules.ramp_time as f64).min(1.0);
-    let budget = limit * warm * rules.tip_multiple * rules.tip_after as f64 / SECOND as f64;
+/// The number of calls that a destination may get from all replicas within the overload duration, so long after its return:
+/// the budget that its contract allows at the capacity it has by then, plus twice the square root of the budget and two for
+/// random variation.
+fn allowed_while_cold(limit: f64, since_return: u64, rules: &Rules) -> f64 {
+    let capacity_share =
+        rules.cold_from + (1.0 - rules.cold_from) * (since_return as f64 / rules.ramp_time as f64).min(1.0);
+    let budget = limit * capacity_share * rules.tip_multiple * rules.tip_after as f64 / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
-/// The most calls in a tip time over what is allowed then, after an outage in which backlogs have grown. Traffic is
-/// uneven: the first of four senders has half of it. Some senders are started anew on the way.
-fn worst_when_cold(senders: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
-    let mut fleet = Fleet::new(senders, if listed { limit } else { 0.0 });
+/// The highest ratio of the calls within an overload duration to those allowed then, after an outage in which backlogs have
+/// grown. Traffic is uneven: every second message goes to the first quarter of the replicas, the others to all of them. Some
+/// replicas may be restarted after the outage.
+fn highest_cold_load(replicas: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
+    let mut fleet = Fleet::new(replicas, if listed { limit } else { 0.0 });
     let rules = fleet.settings.rules.clone();
-    let (out_from, out_to, end) = (5 * SECOND, 5 * SECOND + outage, 18 * SECOND + outage);
-    let (mut counts, mut owed, mut dealt, mut told) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
-    for round in 0..end / ROUND {
-        let at = round * ROUND;
-        owed += 0.8 * limit * ROUND as f64 / SECOND as f64;
-        while owed >= 1.0 {
-            (owed, dealt) = (owed - 1.0, dealt + 1);
-            let all = u64::from(senders);
-            let busy = dealt * 37 % all.div_ceil(4);
-            fleet.submit((if dealt.is_multiple_of(2) { busy } else { dealt * 61 % all }) as usize, 1);
+    let (outage_start, outage_end, end) = (5 * SECOND, 5 * SECOND + outage, 18 * SECOND + outage);
+    let (mut calls_by_step, mut due, mut submitted, mut informed) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
+    for step in 0..end / STEP {
+        let at = step * STEP;
+        due += 0.8 * limit * STEP as f64 / SECOND as f64;
+        while due >= 1.0 {
+            (due, submitted) = (due - 1.0, submitted + 1);
+            let all = u64::from(replicas);
+            let busy = submitted * 37 % all.div_ceil(4);
+            fleet.submit((if submitted.is_multiple_of(2) { busy } else { submitted * 61 % all }) as usize, 1);
         }
-        if restarts && at >= out_to && at.is_multiple_of(SECOND / 2) {
-            fleet.restart((at / SECOND * 13 % u64::from(senders)) as usize);
+        if restarts && at >= outage_end && at.is_multiple_of(SECOND / 2) {
+            fleet.restart((at / SECOND * 13 % u64::from(replicas)) as usize);
         }
-        let out = (out_from..out_to).contains(&at);
-        fleet.answer(if out { Outcome::ConnectFailed } else { Outcome::Ok });
-        // What cannot connect is no call.
+        let is_down = (outage_start..outage_end).contains(&at);
+        fleet.end_due_calls(if is_down { Outcome::ConnectFailed } else { Outcome::Ok });
+        // An attempt that cannot connect does not count as a call.
         let before = fleet.calls.len();
-        fleet.round();
-        let callers = fleet.calls[before..].iter().map(|c| c.0);
-        told.extend(callers.clone().filter(|_| out));
-        counts.push(callers.filter(|_| !out).map(|n| told.contains(&n)).collect::<Vec<_>>());
+        fleet.step();
+        let callers = fleet.calls[before..].iter().map(|call| call.0);
+        informed.extend(callers.clone().filter(|_| is_down));
+        calls_by_step.push(
+            callers.filter(|_| !is_down).map(|replica| informed.contains(&replica)).collect::<Vec<_>>(),
+        );
     }
-    let window = (rules.tip_after / ROUND) as usize;
-    let first = (out_to / ROUND) as usize;
-    let worst = (first..counts.len() - window).map(|from| {
-        let calls: Vec<bool> = counts[from..from + window].iter().flatten().copied().collect();
-        let from_told = calls.iter().filter(|told| **told).count();
-        // The rule is broken by those that had been told.
-        let counted = if 3 * from_told > 2 * calls.len() { calls.len() } else { 0 };
-        counted as f64 / allowed_when_cold(limit, (from - first) as u64 * ROUND, &rules)
+    let window = (rules.tip_after / STEP) as usize;
+    let first = (outage_end / STEP) as usize;
+    let worst = (first..calls_by_step.len() - window).map(|from| {
+        let calls: Vec<bool> = calls_by_step[from..from + window].iter().flatten().copied().collect();
+        let by_informed = calls.iter().filter(|informed| **informed).count();
+        // Only replicas that have seen a call fail break the rule: a window counts if more than two thirds of its calls are
+        // theirs.
+        let counted = if 3 * by_informed > 2 * calls.len() { calls.len() } else { 0 };
+        counted as f64 / allowed_while_cold(limit, (from - first) as u64 * STEP, &rules)
     });
     worst.fold(0.0, f64::max)
 }
 
-/// With a listed limit and without, with senders started anew on the way and without.
-fn stays_within_what_is_cold(senders: u32, limit: f64, outage: u64) {
+/// Checks the load on a cold destination with and without a listed limit, and with and without restarts of replicas.
+fn assert_stays_within_cold_capacity(replicas: u32, limit: f64, outage: u64) {
     for (listed, restarts) in [(true, false), (true, true), (false, false), (false, true)] {
-        let worst = worst_when_cold(senders, limit, listed, restarts, outage);
-        let what = format!("{senders} senders, {limit} a second, listed {listed}, restarts {restarts}");
-        assert!(worst <= 1.0, "{what}, {outage} us out: {worst} of what is allowed");
+        let worst = highest_cold_load(replicas, limit, listed, restarts, outage);
+        let case = format!("{replicas} replicas, {limit} calls/s, listed {listed}, restarts {restarts}");
+        assert!(worst <= 1.0, "{case}, outage of {outage} us: {worst} of the allowed calls");
     }
 }
 
-/// Found on fleets of 20 and more: what each had saved up while it waited went right behind its trial, and where no limit
-/// is listed the first trials of those that had just failed came too close together.
+/// In fleets of 20 and more, the calls that a replica had saved up while it waited followed its half-open probe at once.
+/// Where no limit is listed, the first probes of replicas whose calls had just failed came too close together.
 #[test]
-fn fleets_of_any_size_stay_within_what_is_cold() {
+fn fleets_of_any_size_stay_within_cold_capacity() {
     let fleets = [(2, 25.0), (4, 5.0), (4, 25.0), (20, 5.0), (20, 25.0), (30, 5.0), (30, 25.0)];
     let large = [(100, 10.0), (100, 50.0), (350, 10.0)];
-    for (senders, limit) in fleets.into_iter().chain(large) {
+    for (replicas, limit) in fleets.into_iter().chain(large) {
         for outage in [4 * SECOND, 6 * SECOND, 15 * SECOND] {
-            stays_within_what_is_cold(senders, limit, outage);
+            assert_stays_within_cold_capacity(replicas, limit, outage);
         }
     }
     for outage in [6 * SECOND, 15 * SECOND] {
-        stays_within_what_is_cold(350, 100.0, outage);
+        assert_stays_within_cold_capacity(350, 100.0, outage);
     }
 }
 
-/// Most of such a fleet have seen one call fail by then, and go on at their part of the limit.
+/// Most replicas of such a fleet have seen only one call fail by then, and go on at their share of the limit.
 #[test]
-fn a_fleet_of_350_stays_within_what_is_cold_after_a_short_outage() {
-    stays_within_what_is_cold(350, 100.0, 4 * SECOND);
+fn a_fleet_of_350_stays_within_cold_capacity_after_a_short_outage() {
+    assert_stays_within_cold_capacity(350, 100.0, 4 * SECOND);
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,5 @@
-//! What a restart finds taken on is still owed, through the module's interface.
+//! Messages that a restart restores from the write-ahead log still have to be delivered. Tested through the public interface
+//! of the delivery policy.
 
 mod common;
 
@@ -6,59 +7,72 @@
 use hatchline::*;
 use std::collections::BTreeMap;
 
-/// A module that has just come up with one endpoint of destination 1, and what it says and sends.
-struct Restart {
+/// A policy that has just started with one endpoint of destination 1, and a record of its actions.
+struct RestartedPolicy {
     policy: DeliveryPolicy,
     now: u64,
-    out: Vec<Action>,
-    sent: BTreeMap<MessageId, u64>,
+    /// Actions that have not been executed yet.
+    actions: Vec<Action>,
+    first_sent_at: BTreeMap<MessageId, u64>,
+    /// Messages that the policy has refused or failed.
     ended: Vec<MessageId>,
-    /// Those that had been called before.
-    tried: Vec<MessageId>,
-    /// Calls that are out, by when they are served.
-    calls: Vec<(u64, MessageId)>,
+    /// Messages with an attempt before the restart.
+    attempted: Vec<MessageId>,
+    /// Calls in flight, each with the time of its delivery.
+    in_flight: Vec<(u64, MessageId)>,
 }
 
-impl Restart {
-    fn new(settings: Settings, limit: f64) -> Restart {
-        Restart::of_seed(3, settings, limit)
+impl RestartedPolicy {
+    fn new(settings: Settings, limit: f64) -> RestartedPolicy {
+        RestartedPolicy::with_seed(3, settings, limit)
     }
 
-    fn of_seed(seed: u64, settings: Settings, limit: f64) -> Restart {
+    fn with_seed(seed: u64, settings: Settings, limit: f64) -> RestartedPolicy {
         let now = 50 * SECOND;
         let policy = DeliveryPolicy::new(now, seed, Settings { listed_rate: ListedRate::Exact, ..settings });
-        let (out, sent, ended, calls) = (Vec::new(), BTreeMap::new(), Vec::new(), Vec::new());
-        let mut restart = Restart { policy, now, out, sent, ended, tried: Vec::new(), calls };
+        let (actions, first_sent_at, ended, in_flight) =
+            (Vec::new(), BTreeMap::new(), Vec::new(), Vec::new());
+        let mut restarted =
+            RestartedPolicy { policy, now, actions, first_sent_at, ended, attempted: Vec::new(), in_flight };
         let endpoints = vec![Endpoint { rate: limit, ..endpoint(1, 1) }];
-        restart.tell(Event::List { kind: ListKind::Cached, version: 1, endpoints });
-        restart
+        restarted.notify(Event::List { kind: ListKind::Cached, version: 1, endpoints });
+        restarted
     }
 
-    fn tell(&mut self, event: Event) {
-        self.policy.handle(self.now, event, &mut self.out);
+    fn notify(&mut self, event: Event) {
+        self.policy.handle(self.now, event, &mut self.actions);
     }
 
-    fn find(&mut self, id: MessageId, left: u64, order_key: u64, first_run: Option<(u64, u32)>) {
+    /// Restores a message that has so much time left; `first_run` is the start and zone of an attempt before the restart.
+    fn restore(&mut self, id: MessageId, left: u64, order_key: u64, first_run: Option<(u64, u32)>) {
         let attempts = first_run.map(|_| Outcome::Reset).into_iter().collect();
         let expires = self.now + left;
-        self.tried.extend(first_run.map(|_| id));
-        self.tell(Event::Restored { id, class: 0, destination: 1, order_key, expires, attempts, first_run });
+        self.attempted.extend(first_run.map(|_| id));
+        self.notify(Event::Restored {
+            id,
+            class: 0,
+            destination: 1,
+            order_key,
+            expires,
+            attempts,
+            first_run,
+        });
     }
 
     fn submit(&mut self, id: MessageId) {
         let expires = self.now + 20 * SECOND;
-        self.tell(Event::Request { id, class: 0, destination: 1, order_key: 0, expires });
+        self.notify(Event::Request { id, class: 0, destination: 1, order_key: 0, expires });
     }
 
-    /// Time goes on; each call is served 50 ms after it was sent.
-    fn run(&mut self, span: u64) {
-        let until = self.now + span;
-        while self.now < until {
-            let done: Vec<_> = self.calls.extract_if(.., |(at, _)| *at <= self.now).collect();
-            for (_, id) in done {
-                self.tell(Event::Outcome {
+    /// Advances time; each call delivers its message after 50 ms.
+    fn advance(&mut self, span: u64) {
+        let end = self.now + span;
+        while self.now < end {
+            let due: Vec<_> = self.in_flight.extract_if(.., |(at, _)| *at <= self.now).collect();
+            for (_, id) in due {
+                self.notify(Event::Outcome {
                     id,
-                    attempt: u32::from(self.tried.contains(&id)),
+                    attempt: u32::from(self.attempted.contains(&id)),
                     target: 1,
                     outcome: Outcome::Ok,
                     took: 50 * MILLISECOND,
@@ -67,13 +81,13 @@
                     report: None,
                 });
             }
-            self.tell(Event::Timer { token: 0 });
-            self.policy.decide(self.now, &mut self.out);
-            for action in std::mem::take(&mut self.out) {
+            self.notify(Event::Timer { token: 0 });
+            self.policy.decide(self.now, &mut self.actions);
+            for action in std::mem::take(&mut self.actions) {
                 match action {
                     Action::Send { id, .. } => {
-                        self.sent.entry(id).or_insert(self.now);
-                        self.calls.push((self.now + 50 * MILLISECOND, id));
+                        self.first_sent_at.entry(id).or_insert(self.now);
+                        self.in_flight.push((self.now + 50 * MILLISECOND, id));
                     }
                     Action::Refuse { id, .. } | Action::Fail { id } => self.ended.push(id),
                     _ => {}
@@ -84,93 +98,98 @@
     }
 }
 
-/// The room that is kept free was made, at the start, by giving up what the log held.
+/// The policy keeps some room below the limit on held messages. After a start, it used to make that room by failing messages
+/// restored from the write-ahead log.
 #[test]
-fn nothing_that_a_restart_finds_makes_room_for_another() {
-    let mut s = settings(vec![class(Effect::Keyed)]);
-    s.max_held = 100;
-    let mut restart = Restart::new(s, 2.0);
-    (1..=99).for_each(|id| restart.find(id, 15 * SECOND, 0, None));
+fn restored_messages_are_not_dropped_to_make_room() {
+    let mut settings = settings(vec![class(Effect::Keyed)]);
+    settings.max_held = 100;
+    let mut restarted = RestartedPolicy::new(settings, 2.0);
+    (1..=99).for_each(|id| restarted.restore(id, 15 * SECOND, 0, None));
     for id in 1000..1010 {
-        restart.submit(id);
+        restarted.submit(id);
     }
-    restart.run(10 * MILLISECOND);
-    assert!(!restart.ended.is_empty() && restart.ended.iter().all(|id| *id >= 1000), "{:?}", restart.ended);
+    restarted.advance(10 * MILLISECOND);
+    assert!(
+        !restarted.ended.is_empty() && restarted.ended.iter().all(|id| *id >= 1000),
+        "{:?}",
+        restarted.ended
+    );
 }
 
-/// herd+mass: of 7,442 messages that restarts found untried, 4,141 were given up with no call. Newer ones went first.
+/// Of 7,442 messages that restarts had restored unsent, 4,141 failed without a call, because newer messages went first.
 #[test]
-fn what_a_restart_finds_untried_goes_first_and_what_ends_first_before_the_rest() {
-    let mut restart = Restart::new(settings(vec![class(Effect::Keyed)]), 20.0);
-    // Past its aim, and over long before all that is newer would have gone.
-    (1..=30).for_each(|id| restart.find(id, 6 * SECOND - id * 10 * MILLISECOND, 0, None));
+fn restored_unsent_messages_go_before_new_ones_in_the_order_of_their_deadlines() {
+    let mut restarted = RestartedPolicy::new(settings(vec![class(Effect::Keyed)]), 20.0);
+    // Past their aim, and expired long before all newer messages would have been sent.
+    (1..=30).for_each(|id| restarted.restore(id, 6 * SECOND - id * 10 * MILLISECOND, 0, None));
     for id in 1000..1080 {
-        restart.submit(id);
-        restart.run(50 * MILLISECOND);
+        restarted.submit(id);
+        restarted.advance(50 * MILLISECOND);
     }
-    let found: Vec<_> = (1..=30).filter_map(|id| Some((restart.sent.get(&id)?, id))).collect();
-    assert_eq!(found.len(), 30, "{:?}, {:?}", restart.sent, restart.ended);
-    // The limit leaves an order to be seen: the first to end is number 30.
-    let at = |id: MessageId| restart.sent[&id];
-    assert!(at(30) < at(20) && at(20) < at(10) && at(10) < at(1), "{found:?}");
-    assert!((1030..1080).all(|id| restart.sent.get(&id).is_none_or(|sent| *sent > at(15))));
+    let sent: Vec<_> = (1..=30).filter_map(|id| Some((restarted.first_sent_at.get(&id)?, id))).collect();
+    assert_eq!(sent.len(), 30, "{:?}, {:?}", restarted.first_sent_at, restarted.ended);
+    // The rate limit makes the order visible. The first to expire is message 30.
+    let at = |id: MessageId| restarted.first_sent_at[&id];
+    assert!(at(30) < at(20) && at(20) < at(10) && at(10) < at(1), "{sent:?}");
+    assert!((1030..1080).all(|id| restarted.first_sent_at.get(&id).is_none_or(|sent_at| *sent_at > at(15))));
 }
 
 #[test]
-fn of_the_keys_that_a_restart_finds_those_rest_whose_call_may_run_on() {
-    let mut s = settings(vec![Class { in_order: true, ..class(Effect::Keyed) }]);
-    s.rules.order_pause = 5 * SECOND;
-    let mut restart = Restart::new(s, 0.0);
-    restart.find(1, 15 * SECOND, 7, None);
-    let begun = restart.now - SECOND;
-    restart.find(2, 15 * SECOND, 8, Some((begun, 0)));
-    restart.find(3, 15 * SECOND, 8, None);
-    let start = restart.now;
-    restart.run(8 * SECOND);
-    assert!(restart.sent[&1] < start + SECOND, "{:?}", restart.sent);
-    assert!(restart.sent[&3] >= start + 5 * SECOND, "{:?}", restart.sent);
+fn an_order_key_pauses_after_a_restart_only_if_its_call_may_still_run() {
+    let mut settings = settings(vec![Class { in_order: true, ..class(Effect::Keyed) }]);
+    settings.rules.order_pause = 5 * SECOND;
+    let mut restarted = RestartedPolicy::new(settings, 0.0);
+    restarted.restore(1, 15 * SECOND, 7, None);
+    let started = restarted.now - SECOND;
+    restarted.restore(2, 15 * SECOND, 8, Some((started, 0)));
+    restarted.restore(3, 15 * SECOND, 8, None);
+    let start = restarted.now;
+    restarted.advance(8 * SECOND);
+    assert!(restarted.first_sent_at[&1] < start + SECOND, "{:?}", restarted.first_sent_at);
+    assert!(restarted.first_sent_at[&3] >= start + 5 * SECOND, "{:?}", restarted.first_sent_at);
 }
 
-/// Short deadlines in a fleet of 300: by the even part of the limit, the first call of each came within 10 s, most of
-/// them after all that the restart had found was over.
+/// With an even share of the rate limit, each replica of a fleet of 300 made its first call within 10 s. Where deadlines are
+/// short, most of the restored messages had expired by then.
 #[test]
-fn a_restart_has_a_call_for_what_it_finds_before_its_time_is_over() {
-    let mut s = settings(vec![class(Effect::Keyed)]);
-    s.senders = 300;
+fn restored_messages_get_a_call_before_they_expire() {
+    let mut settings = settings(vec![class(Effect::Keyed)]);
+    settings.senders = 300;
     let first_call = |seed| {
-        let mut restart = Restart::of_seed(seed, s.clone(), 30.0);
-        restart.find(1, 3 * SECOND, 0, None);
-        let start = restart.now;
-        restart.run(3 * SECOND);
-        restart.sent.get(&1).map(|sent| sent - start)
+        let mut restarted = RestartedPolicy::with_seed(seed, settings.clone(), 30.0);
+        restarted.restore(1, 3 * SECOND, 0, None);
+        let start = restarted.now;
+        restarted.advance(3 * SECOND);
+        restarted.first_sent_at.get(&1).map(|sent| sent - start)
     };
-    let calls: Vec<_> = (0..300).filter_map(first_call).collect();
-    assert_eq!(calls.len(), 300);
-    // Together they stay within three times the limit, also in the first moments.
-    let soon = calls.iter().filter(|at| **at < 300 * MILLISECOND).count();
+    let first_calls: Vec<_> = (0..300).filter_map(first_call).collect();
+    assert_eq!(first_calls.len(), 300);
+    // Together they stay within three times the limit, even in the first moments.
+    let soon = first_calls.iter().filter(|at| **at < 300 * MILLISECOND).count();
     assert!(soon < 60, "{soon} of 300 in the first 300 ms");
 }
 
-/// roll+brink: a message whose call waited until its time was over was handed back half a millisecond after it. Its client
-/// had no time to come again, and it counted as never answered.
+/// A message whose call was in flight until the deadline used to be refused half a millisecond after it. Its client had no
+/// time left for a retry, and the message counted as one that never got a response.
 #[test]
-fn what_is_over_is_not_handed_back() {
-    let mut restart = Restart::new(settings(vec![class(Effect::Repeatable)]), 0.0);
-    let end = |late: u64| {
-        let (mut out, id) = (Vec::new(), 1 + late);
-        let expires = restart.now + SECOND;
-        restart.policy.handle(
-            restart.now,
+fn an_expired_message_is_not_refused() {
+    let mut restarted = RestartedPolicy::new(settings(vec![class(Effect::Repeatable)]), 0.0);
+    let is_refused = |late: u64| {
+        let (mut actions, id) = (Vec::new(), 1 + late);
+        let expires = restarted.now + SECOND;
+        restarted.policy.handle(
+            restarted.now,
             Event::Request { id, class: 0, destination: 1, order_key: 0, expires },
-            &mut out,
+            &mut actions,
         );
-        restart.policy.decide(restart.now, &mut out);
-        restart.now = expires - 1 + late;
+        restarted.policy.decide(restarted.now, &mut actions);
+        restarted.now = expires - 1 + late;
         let outcome = Outcome::TimedOut;
         let (attempt, target, took, ended, wait, report) = (0, 1, SECOND, false, 0, None);
         let event = Event::Outcome { id, attempt, target, outcome, took, ended, wait, report };
-        restart.policy.handle(restart.now, event, &mut out);
-        out.iter().any(|a| matches!(a, Action::Refuse { id: over, .. } if *over == id))
+        restarted.policy.handle(restarted.now, event, &mut actions);
+        actions.iter().any(|action| matches!(action, Action::Refuse { id: refused, .. } if *refused == id))
     };
-    assert_eq!([0, 1, 500].map(end), [true, false, false]);
+    assert_eq!([0, 1, 500].map(is_refused), [true, false, false]);
 }
