--- a/test.sh
+++ b/test.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Everything a change must pass: format, lints, tests, release build.
-# Tests that fail for a known fault are listed in KNOWN-RED.txt, if there are any: just these are passed over, and named.
+# All checks that a change must pass: formatting, lints, release build, tests.
+# Tests with known failures are listed in KNOWN-RED.txt, if there are any. Only these are skipped, and each is reported.
 set -euo pipefail
 cd "$(dirname "$0")"
 cargo fmt --all --check
 cargo clippy --locked --workspace --all-targets -- -D warnings
-# The forwarder alone: the experiment tool is built for its tests.
+# Builds the forwarder alone; the experiment tool is built by its tests.
 cargo build --locked --release
 names=$(cargo test --locked --workspace -- --list | sed -n 's/: test$//p')
 skips=$(.ci/known-red KNOWN-RED.txt <<<"$names")
-# Names have no spaces. Exact: a test whose name holds that of another is not passed over with it.
+# Test names hold no spaces, so $skips is split into arguments. --exact keeps a test whose name contains that of a skipped
+# one from being skipped too.
 cargo test --locked --workspace -- --exact $skips
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery client over a scripted transport, in paused time.
+//! Tests of the discovery client with a scripted transport, in paused time.
 
 use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent, DiscoveryMode};
 use hatchline::discovery::{ListRequest, Reply, Transport, TransportError};
@@ -10,103 +10,116 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout, Instant};
 
-const MS: fn(u64) -> Duration = Duration::from_millis;
-const FIRST: &str = "127.0.0.1:8500";
-const SECOND: &str = "127.0.0.2:8500";
+const MILLIS: fn(u64) -> Duration = Duration::from_millis;
+const FIRST_ADDRESS: &str = "127.0.0.1:8500";
+const SECOND_ADDRESS: &str = "127.0.0.2:8500";
 const REPLICAS: [u32; 4] = [1, 4, 15, 3_000];
 const MODES: [DiscoveryMode; 2] = [DiscoveryMode::Pushed, DiscoveryMode::OnRequest];
 
-/// What becomes of a request.
+/// What happens to a request.
 #[derive(Clone, Copy)]
-enum Answer {
+enum ScriptedReply {
     Reply(StatusCode, &'static str),
-    Refused,
-    Silence,
+    Interrupted,
+    NoReply,
 }
 
-const BUSY: Answer = Answer::Reply(StatusCode::SERVICE_UNAVAILABLE, "");
+const UNAVAILABLE: ScriptedReply = ScriptedReply::Reply(StatusCode::SERVICE_UNAVAILABLE, "");
 
-/// A request, and when it came since the start.
-struct Call {
-    at: Duration,
+/// A request and the time since the start at which it arrived.
+struct ReceivedRequest {
+    received_at: Duration,
     address: SocketAddr,
     request: ListRequest,
 }
 
-/// Gives the scripted answers in turn, the last one again and again.
-struct Script {
-    answers: Vec<Answer>,
+/// Gives the scripted replies in turn and repeats the last one.
+struct ScriptedTransport {
+    replies: Vec<ScriptedReply>,
     start: Instant,
-    calls: Arc<Mutex<Vec<Call>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Transport for Script {
+impl Transport for ScriptedTransport {
     async fn exchange(
         &mut self, address: SocketAddr, request: &ListRequest,
     ) -> Result<Reply, TransportError> {
         let count = {
-            let mut calls = self.calls.lock().unwrap();
-            calls.push(Call { at: self.start.elapsed(), address, request: *request });
-            calls.len()
+            let mut requests = self.requests.lock().unwrap();
+            requests.push(ReceivedRequest { received_at: self.start.elapsed(), address, request: *request });
+            requests.len()
         };
-        match self.answers[count.min(self.answers.len()) - 1] {
-            Answer::Reply(status, body) => Ok(Reply { status, body: body.into() }),
-            Answer::Refused => Err(TransportError::Interrupted),
-            Answer::Silence => pending().await,
+        match self.replies[count.min(self.replies.len()) - 1] {
+            ScriptedReply::Reply(status, body) => Ok(Reply { status, body: body.into() }),
+            ScriptedReply::Interrupted => Err(TransportError::Interrupted),
+            ScriptedReply::NoReply => pending().await,
         }
     }
 
     fn disconnect(&mut self) {}
 }
 
-/// Runs a client that knows version 7 for so long; its calls and events. Half way discovery moves, if it is to.
-async fn run(
-    answers: &[Answer], options: ClientOptions, seed: u64, span: Duration, moves: bool,
-) -> (Vec<Call>, Vec<DiscoveryEvent>) {
-    let calls = Arc::new(Mutex::new(Vec::new()));
-    let script = Script { answers: answers.to_vec(), start: Instant::now(), calls: calls.clone() };
+/// Runs a client that knows version 7 for `span` and returns its requests and events. The address of discovery may change
+/// after half of the span.
+async fn run_client(
+    replies: &[ScriptedReply], options: ClientOptions, seed: u64, span: Duration, changes_address: bool,
+) -> (Vec<ReceivedRequest>, Vec<DiscoveryEvent>) {
+    let requests = Arc::new(Mutex::new(Vec::new()));
+    let transport =
+        ScriptedTransport { replies: replies.to_vec(), start: Instant::now(), requests: requests.clone() };
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let on_event = move |event| sender.send(event).unwrap();
-    let client = Client::new(script, on_event, options, fastrand::Rng::with_seed(seed));
-    let (address, seen) = watch::channel(FIRST.parse().unwrap());
-    let running = tokio::spawn(client.run(seen, Some(7)));
+    let client = Client::new(transport, on_event, options, fastrand::Rng::with_seed(seed));
+    let (address, address_receiver) = watch::channel(FIRST_ADDRESS.parse().unwrap());
+    let running = tokio::spawn(client.run(address_receiver, Some(7)));
     sleep(span / 2).await;
-    if moves {
-        address.send_replace(SECOND.parse().unwrap());
+    if changes_address {
+        address.send_replace(SECOND_ADDRESS.parse().unwrap());
     }
     sleep(span / 2).await;
     drop(address);
-    timeout(MS(10_000), running).await.expect("it ends with its address").unwrap();
+    timeout(MILLIS(10_000), running)
+        .await
+        .expect("the client stops once the sender of its address is dropped")
+        .unwrap();
     let events = std::iter::from_fn(|| receiver.try_recv().ok()).collect();
-    let calls = std::mem::take(&mut *calls.lock().unwrap());
-    (calls, events)
+    let requests = std::mem::take(&mut *requests.lock().unwrap());
+    (requests, events)
 }
 
 fn options(mode: DiscoveryMode, replicas: u32) -> ClientOptions {
     ClientOptions { mode, replicas }
 }
 
-fn since(call: &Call) -> Option<u64> {
-    match call.request {
+/// The version that a watch continues from, or none for a request for the full list.
+fn known_version(received: &ReceivedRequest) -> Option<u64> {
+    match received.request {
         ListRequest::WholeList => None,
         ListRequest::Watch { since, .. } => Some(since),
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_goes_on_from_each_version_and_a_reply_without_a_list_or_a_move_begins_anew() {
-    let answers = [
-        Answer::Reply(StatusCode::OK, r#"{"version":9,"servers":[]}"#),
-        Answer::Reply(StatusCode::BAD_REQUEST, "{}"),
-        Answer::Reply(StatusCode::OK, r#"{"version":2,"full":true,"servers":[{"id":"unreadable"}]}"#),
-        Answer::Silence,
+async fn a_watch_continues_from_each_version_and_restarts_after_an_invalid_reply_or_a_new_address() {
+    let replies = [
+        ScriptedReply::Reply(StatusCode::OK, r#"{"version":9,"servers":[]}"#),
+        ScriptedReply::Reply(StatusCode::BAD_REQUEST, "{}"),
+        ScriptedReply::Reply(StatusCode::OK, r#"{"version":2,"full":true,"servers":[{"id":"unreadable"}]}"#),
+        ScriptedReply::NoReply,
     ];
-    let (calls, events) = run(&answers, options(MODES[0], 1), 1, MS(1_000), true).await;
-    let seen: Vec<_> = calls.iter().map(|call| (since(call), call.address.to_string())).collect();
-    let at = |version, address: &str| (version, address.to_string());
+    let (requests, events) = run_client(&replies, options(MODES[0], 1), 1, MILLIS(1_000), true).await;
+    let watches: Vec<_> =
+        requests.iter().map(|received| (known_version(received), received.address.to_string())).collect();
+    let watch = |version, address: &str| (version, address.to_string());
     assert_eq!(
-        seen,
-        [at(Some(7), FIRST), at(Some(9), FIRST), at(None, FIRST), at(Some(2), FIRST), at(None, SECOND)]
+        watches,
+        [
+            watch(Some(7), FIRST_ADDRESS),
+            watch(Some(9), FIRST_ADDRESS),
+            watch(None, FIRST_ADDRESS),
+            watch(Some(2), FIRST_ADDRESS),
+            watch(None, SECOND_ADDRESS)
+        ]
     );
     let [DiscoveryEvent::UnusableReply { status, error: Some(_) }, DiscoveryEvent::List(list)] = &events[..]
     else {
@@ -116,57 +129,68 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_ends_with_the_grace_and_failures_back_off() {
-    for (mode, due, longest) in [(MODES[0], 2_000, 100), (MODES[1], 2_500, 500)] {
-        let (calls, _) =
-            run(&[Answer::Silence, Answer::Refused], options(mode, 1), 1, MS(8_000), false).await;
-        let gaps: Vec<_> = calls.windows(2).map(|pair| pair[1].at - pair[0].at).collect();
-        // The clock of tests steps by a millisecond.
-        let is = |gap: Duration, ms| gap >= MS(ms) && gap <= MS(ms + 2);
-        assert!(is(gaps[0], due + 50) && is(gaps[1], 100), "{mode:?}: {gaps:?}");
-        assert!(gaps.iter().skip(4).all(|gap| is(*gap, longest)), "{mode:?}: {gaps:?}");
+async fn requests_without_a_reply_time_out_and_failures_back_off() {
+    for (mode, hold_time, max_backoff) in [(MODES[0], 2_000, 100), (MODES[1], 2_500, 500)] {
+        let (requests, _) = run_client(
+            &[ScriptedReply::NoReply, ScriptedReply::Interrupted],
+            options(mode, 1),
+            1,
+            MILLIS(8_000),
+            false,
+        )
+        .await;
+        let gaps: Vec<_> =
+            requests.windows(2).map(|pair| pair[1].received_at - pair[0].received_at).collect();
+        // Timers in paused time have a resolution of one millisecond.
+        let is_about = |gap: Duration, ms| gap >= MILLIS(ms) && gap <= MILLIS(ms + 2);
+        assert!(is_about(gaps[0], hold_time + 50) && is_about(gaps[1], 100), "{mode:?}: {gaps:?}");
+        assert!(gaps.iter().skip(4).all(|gap| is_about(*gap, max_backoff)), "{mode:?}: {gaps:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_is_turned_away_comes_again_at_the_pace_of_its_fleet() {
-    for (mode, replicas) in MODES.into_iter().flat_map(|mode| REPLICAS.map(|n| (mode, n))) {
-        let (calls, _) = run(&[BUSY], options(mode, replicas), 5, MS(60_000), false).await;
-        let mean = MS((125 * u64::from(replicas)).min(1_850));
-        let gaps = calls.windows(2).map(|pair| pair[1].at - pair[0].at);
+async fn rejected_requests_are_retried_at_an_interval_that_grows_with_the_fleet() {
+    for (mode, replicas) in MODES.into_iter().flat_map(|mode| REPLICAS.map(|replicas| (mode, replicas))) {
+        let (requests, _) =
+            run_client(&[UNAVAILABLE], options(mode, replicas), 5, MILLIS(60_000), false).await;
+        let mean = MILLIS((125 * u64::from(replicas)).min(1_850));
+        let gaps = requests.windows(2).map(|pair| pair[1].received_at - pair[0].received_at);
         assert!(
-            gaps.clone().all(|gap| gap >= mean / 2 && gap <= mean * 3 / 2 + MS(2)),
+            gaps.clone().all(|gap| gap >= mean / 2 && gap <= mean * 3 / 2 + MILLIS(2)),
             "{mode:?} {replicas}"
         );
-        assert!(gaps.clone().max() > gaps.min(), "all pauses are the same");
-        assert!(calls.len() >= 20, "{mode:?} {replicas}: {} calls in a minute", calls.len());
+        assert!(gaps.clone().max() > gaps.min(), "the intervals are not randomized");
+        assert!(requests.len() >= 20, "{mode:?} {replicas}: {} requests in a minute", requests.len());
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn watches_begin_at_once_or_spread_over_the_fleet_and_the_seed_decides() {
+async fn watches_start_at_once_or_at_a_seeded_delay_that_grows_with_the_fleet() {
     for replicas in REPLICAS {
-        let mut begun = Vec::new();
+        let mut start_delays = Vec::new();
         for seed in 0..20 {
-            let first = |mode, seed| async move {
-                run(&[Answer::Silence], options(mode, replicas), seed, MS(6_000), false).await.0[0].at
+            let first_request_at = |mode, seed| async move {
+                run_client(&[ScriptedReply::NoReply], options(mode, replicas), seed, MILLIS(6_000), false)
+                    .await
+                    .0[0]
+                    .received_at
             };
-            assert_eq!(first(DiscoveryMode::Pushed, seed).await, Duration::ZERO);
-            let delay = first(DiscoveryMode::OnRequest, seed).await;
-            assert_eq!(first(DiscoveryMode::OnRequest, seed).await, delay);
-            begun.push(delay);
+            assert_eq!(first_request_at(DiscoveryMode::Pushed, seed).await, Duration::ZERO);
+            let delay = first_request_at(DiscoveryMode::OnRequest, seed).await;
+            assert_eq!(first_request_at(DiscoveryMode::OnRequest, seed).await, delay);
+            start_delays.push(delay);
         }
-        let spread = MS((50 * u64::from(replicas)).min(2_500));
-        begun.sort();
-        assert!(begun[19] <= spread + MS(2), "{replicas}: {begun:?}");
-        assert!(begun[19] - begun[0] > spread / 2, "{replicas}: {begun:?}");
+        let spread = MILLIS((50 * u64::from(replicas)).min(2_500));
+        start_delays.sort();
+        assert!(start_delays[19] <= spread + MILLIS(2), "{replicas}: {start_delays:?}");
+        assert!(start_delays[19] - start_delays[0] > spread / 2, "{replicas}: {start_delays:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn replies_without_news_are_not_asked_for_without_a_pause() {
-    let same = Answer::Reply(StatusCode::OK, r#"{"version":7,"servers":[]}"#);
-    let (calls, events) = run(&[same], options(MODES[0], 1), 1, MS(1_000), false).await;
-    assert!((15..=21).contains(&calls.len()), "{} calls in a second", calls.len());
+async fn replies_without_changes_are_followed_by_a_pause() {
+    let unchanged = ScriptedReply::Reply(StatusCode::OK, r#"{"version":7,"servers":[]}"#);
+    let (requests, events) = run_client(&[unchanged], options(MODES[0], 1), 1, MILLIS(1_000), false).await;
+    assert!((15..=21).contains(&requests.len()), "{} requests in a second", requests.len());
     assert!(events.is_empty());
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,12 +1,13 @@
-//! The list of tests that fail for a known fault: what it passes over, and what it does not put up with.
+//! The script that reads the list of tests with known failures: which tests it skips, and which lists it rejects.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 const NAMES: &str = "first\nfirst_of_all\nmodule::second\nthird\nfourth\n";
 
-/// What the tests' runner is passed for such a list, or none if the list is not taken; and what is said.
-fn read(list: Option<&str>) -> (Option<Vec<String>>, String) {
+/// The arguments for the test runner that the script prints for this list, or none if it rejects the list, and its standard
+/// error.
+fn run_script(list: Option<&str>) -> (Option<Vec<String>>, String) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("KNOWN-RED.txt");
     if let Some(list) = list {
@@ -24,26 +25,26 @@
 }
 
 #[test]
-fn an_absent_or_empty_list_changes_nothing() {
+fn an_absent_or_empty_list_skips_nothing() {
     for list in [None, Some("")] {
-        assert_eq!(read(list), (Some(Vec::new()), String::new()));
+        assert_eq!(run_script(list), (Some(Vec::new()), String::new()));
     }
 }
 
 #[test]
-fn just_what_is_listed_is_passed_over_and_named() {
-    let (arguments, said) =
-        read(Some("first | slow by 3 ms | 7\nmodule::second | a fault, not found | 22\n"));
+fn exactly_the_listed_tests_are_skipped_and_reported() {
+    let (arguments, stderr) =
+        run_script(Some("first | slow by 3 ms | 7\nmodule::second | a fault, not found | 22\n"));
     assert_eq!(arguments.unwrap(), ["--skip", "first", "--skip", "module::second"]);
     for part in ["first: slow by 3 ms (issue 7)", "module::second: a fault, not found (issue 22)"] {
-        assert!(said.contains(part), "{said}");
+        assert!(stderr.contains(part), "{stderr}");
     }
-    // The last line may lack its end.
-    assert_eq!(read(Some("third | cause | 1")).0.unwrap(), ["--skip", "third"]);
+    // The last line may lack its newline.
+    assert_eq!(run_script(Some("third | cause | 1")).0.unwrap(), ["--skip", "third"]);
 }
 
 #[test]
-fn a_list_that_names_no_test_or_says_too_little_is_not_taken() {
+fn malformed_lines_and_names_of_no_test_are_rejected() {
     let lines = [
         "fir | cause | 7",
         "second | cause | 7",
@@ -57,13 +58,13 @@
         "first | cause | 7\nfirst | cause | 7",
     ];
     for list in lines {
-        assert_eq!(read(Some(list)).0, None, "{list:?}");
+        assert_eq!(run_script(Some(list)).0, None, "{list:?}");
     }
 }
 
 #[test]
-fn three_lines_are_the_most() {
+fn a_list_has_at_most_three_lines() {
     let three = "first | a | 1\nmodule::second | b | 2\nthird | c | 3\n";
-    assert_eq!(read(Some(three)).0.unwrap().len(), 6);
-    assert_eq!(read(Some(&format!("{three}fourth | d | 4\n"))).0, None);
+    assert_eq!(run_script(Some(three)).0.unwrap().len(), 6);
+    assert_eq!(run_script(Some(&format!("{three}fourth | d | 4\n"))).0, None);
 }
