--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,14 +68,14 @@
 }
 
 /// A class of message with the timing that most tests use.
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
         aim: 2 * SECOND,
         deadline: 20 * SECOND,
         worth: 1.0,
         late_value: 0.5,
-        effect,
-        window: 10 * SECOND,
+        retry_safety: effect,
+        deduplication_window: 10 * SECOND,
         ..Class::default()
     }
 }
@@ -83,24 +83,24 @@
 /// The settings that most tests use: one replica of two, with shared routes and no batches.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        senders: 2,
+        replicas: 2,
         slots: 12,
         max_held: 300,
         max_attempts: 6,
         may_cancel: true,
         classes,
-        rules: Rules {
+        contract: DestinationContract {
             drain_grace: SECOND,
-            cold_from: 0.2,
+            cold_capacity_share: 0.2,
             ramp_time: 10 * SECOND,
-            tip_multiple: 2.5,
-            tip_after: 1500 * MILLISECOND,
+            overload_factor: 2.5,
+            overload_duration: 1500 * MILLISECOND,
             order_pause: 100 * MILLISECOND,
-            ask_within: 10 * SECOND,
+            max_list_poll_interval: 10 * SECOND,
         },
-        batch: vec![1],
-        routes_apart: vec![false],
-        connection_idle: 15 * SECOND,
+        batch_by_kind: vec![1],
+        route_per_endpoint: vec![false],
+        connection_idle_timeout: 15 * SECOND,
         connect_timeout: SECOND,
         streams_per_connection: 8,
         tick: 5 * MILLISECOND,
@@ -204,7 +204,7 @@
         let ended = message.ended_at.is_some();
         let (destination, order_key) = (message.destination, message.order_key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.order_pause_ends.insert(order_key, now + self.settings.rules.order_pause);
+            self.order_pause_ends.insert(order_key, now + self.settings.contract.order_pause);
         }
         if wait > 0 {
             let route = if self.has_own_route(target) { target } else { 0 };
@@ -212,7 +212,16 @@
             *end = (*end).max(now + wait);
         }
         let attempt = index as u32;
-        self.process(Event::Outcome { id, attempt, target, outcome, took, ended, wait, report: None });
+        self.process(Event::AttemptEnded {
+            id,
+            attempt,
+            target,
+            outcome,
+            took,
+            message_ended: ended,
+            retry_after: wait,
+            report: None,
+        });
     }
 
     /// The client withdraws the message without the policy being notified: a call that carries it ends as not sent.
@@ -225,7 +234,7 @@
     /// Whether the endpoint is a route of its own rather than sharing that of its destination.
     fn has_own_route(&self, target: TargetId) -> bool {
         let kind = self.endpoints[&target].kind as usize;
-        self.settings.routes_apart.get(kind).copied().unwrap_or(false)
+        self.settings.route_per_endpoint.get(kind).copied().unwrap_or(false)
     }
 
     /// Passes one event to the policy, lets it decide, and checks and executes the resulting actions.
@@ -253,8 +262,9 @@
                 }
                 let possibly_run = message.attempts.iter().any(may_have_run);
                 let class = &self.settings.classes[message.class];
-                let all_drop_repeats = class.effect == Effect::Keyed && class.group == Group::All;
-                if refuse && possibly_run && class.effect != Effect::Repeatable && !all_drop_repeats {
+                let all_drop_repeats = class.retry_safety == RetrySafety::Keyed
+                    && class.deduplication_scope == DeduplicationScope::All;
+                if refuse && possibly_run && class.retry_safety != RetrySafety::Repeatable && !all_drop_repeats {
                     self.violations.push(format!("message {id} refused though it may have run"));
                 }
                 let message = self.messages.get_mut(&id).unwrap();
@@ -302,13 +312,15 @@
             report_violation("too many attempts");
         }
         let possibly_run: Vec<_> = message.attempts.iter().filter(|attempt| may_have_run(attempt)).collect();
-        match (class.effect, possibly_run.first()) {
-            (Effect::Unsafe, Some(_)) => report_violation("an unsafe message that may have run was repeated"),
-            (Effect::Keyed, Some(first)) => {
-                if self.now > first.sent_at + class.window {
+        match (class.retry_safety, possibly_run.first()) {
+            (RetrySafety::Unsafe, Some(_)) => report_violation("an unsafe message that may have run was repeated"),
+            (RetrySafety::Keyed, Some(first)) => {
+                if self.now > first.sent_at + class.deduplication_window {
                     report_violation("repeated outside its deduplication window");
                 }
-                if class.group == Group::Zone && self.endpoints[&first.target].zone != endpoint.zone {
+                if class.deduplication_scope == DeduplicationScope::Zone
+                    && self.endpoints[&first.target].zone != endpoint.zone
+                {
                     report_violation("repeated outside the zone of its first attempt");
                 }
             }
@@ -317,7 +329,7 @@
         if self
             .leaving_since
             .get(&target)
-            .is_some_and(|since| self.now > since + self.settings.rules.drain_grace)
+            .is_some_and(|since| self.now > since + self.settings.contract.drain_grace)
         {
             report_violation("sent to a draining or removed endpoint after the grace period");
         }
@@ -345,7 +357,7 @@
         }
         let attempt = Attempt { target, sent_at: self.now, times_out_at, outcome: None };
         self.messages.get_mut(&id).unwrap().attempts.push(attempt);
-        if self.settings.batch.iter().all(|b| *b == 1) {
+        if self.settings.batch_by_kind.iter().all(|b| *b == 1) {
             let in_flight = self.attempts_in_flight();
             let to_destination = in_flight
                 .iter()
@@ -403,7 +415,7 @@
 
 /// Whether the attempt may have taken effect at the destination.
 pub fn may_have_run(attempt: &Attempt) -> bool {
-    !matches!(attempt.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
+    !matches!(attempt.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
 /// Delivers every attempt after `latency`.
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -58,21 +58,22 @@
 
 /// Runs the steps, and then until all messages have ended.
 pub fn run_steps(steps: &[Step], batch_size: u32) -> PolicyHarness {
-    let mut zone_scoped = class(Effect::Keyed);
-    zone_scoped.group = Group::Zone;
-    let mut ordered = class(Effect::Keyed);
+    let mut zone_scoped = class(RetrySafety::Keyed);
+    zone_scoped.deduplication_scope = DeduplicationScope::Zone;
+    let mut ordered = class(RetrySafety::Keyed);
     ordered.in_order = true;
-    let mut ordered_unsafe = class(Effect::Unsafe);
+    let mut ordered_unsafe = class(RetrySafety::Unsafe);
     ordered_unsafe.in_order = true;
-    let mut settings = settings(vec![
-        class(Effect::Repeatable),
-        class(Effect::Unsafe),
+    let mut settings =
+        settings(vec![
+        class(RetrySafety::Repeatable),
+        class(RetrySafety::Unsafe),
         zone_scoped,
         ordered,
         ordered_unsafe,
     ]);
-    settings.batch = vec![batch_size, 1];
-    settings.routes_apart = vec![false, true];
+    settings.batch_by_kind = vec![batch_size, 1];
+    settings.route_per_endpoint = vec![false, true];
     settings.zone_fee = vec![0.05, 0.0];
     let mut harness = PolicyHarness::new(settings, listed_endpoints());
     for step in steps {
@@ -85,18 +86,18 @@
                 if let Some((id, index, _)) = in_flight.get(which % in_flight.len().max(1)) {
                     let outcomes = [
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
                         Outcome::NotSent,
                     ];
                     let outcome = outcomes.get(usize::from(*outcome)).copied().unwrap_or(Outcome::Ok);
-                    let wait = if outcome == Outcome::Full { wait * 700 * MILLISECOND } else { 0 };
+                    let wait = if outcome == Outcome::Rejected { wait * 700 * MILLISECOND } else { 0 };
                     harness.end_attempt(*id, *index, outcome, wait);
                 }
             }
             Step::SetState { target, state } => {
-                let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+                let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
                 let listed =
                     listed_endpoints().into_iter().find(|endpoint| endpoint.target == *target).unwrap();
                 let changed = Endpoint { state: states[usize::from(*state)], ..listed };
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -40,19 +40,19 @@
 
 fn traffic_settings(rng: &mut Rng, deadline: u64) -> Settings {
     let class = |effect| Class { deadline, ..class(effect) };
-    let zone_scoped = Class { group: Group::Zone, ..class(Effect::Keyed) };
-    let ordered = Class { in_order: true, ..class(Effect::Keyed) };
-    let urgent = Class { aim: SECOND, deadline: 4 * SECOND, worth: 3.0, ..class(Effect::Repeatable) };
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe), zone_scoped, ordered, urgent];
+    let zone_scoped = Class { deduplication_scope: DeduplicationScope::Zone, ..class(RetrySafety::Keyed) };
+    let ordered = Class { in_order: true, ..class(RetrySafety::Keyed) };
+    let urgent = Class { aim: SECOND, deadline: 4 * SECOND, worth: 3.0, ..class(RetrySafety::Repeatable) };
+    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe), zone_scoped, ordered, urgent];
     let listed_rate = if rng.bool() { ListedRate::Exact } else { ListedRate::Unknown };
     Settings {
-        senders: [1, 2, 30][rng.usize(0..3)],
+        replicas: [1, 2, 30][rng.usize(0..3)],
         slots: rng.u32(6..40),
         max_held: [60, 300][rng.usize(0..2)],
-        may_advise_wait: true,
-        max_advised_wait: 5 * SECOND,
-        batch: vec![1 + 3 * rng.u32(0..2), 1],
-        routes_apart: vec![false, true],
+        may_send_retry_after: true,
+        max_retry_after: 5 * SECOND,
+        batch_by_kind: vec![1 + 3 * rng.u32(0..2), 1],
+        route_per_endpoint: vec![false, true],
         zone_fee: vec![0.05, 0.0],
         listed_rate,
         ..settings(classes)
@@ -85,7 +85,8 @@
 }
 
 fn change_list(harness: &mut PolicyHarness, rng: &mut Rng, endpoints: &[Endpoint]) {
-    let states = [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+    let states =
+        [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
     let changed =
         Endpoint { state: states[rng.usize(0..4)], ..endpoints[rng.usize(0..endpoints.len())].clone() };
     match rng.u32(0..4) {
@@ -104,7 +105,7 @@
     let Some((id, attempt, _)) = in_flight.get(rng.usize(0..in_flight.len().max(1))) else { return };
     let failures = [
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::NotSent,
@@ -113,7 +114,7 @@
     let drawn = failures.get(rng.usize(0..18)).copied();
     let possible = drawn.filter(|outcome| limits_connections || *outcome != Outcome::TooManyConnections);
     let outcome = possible.unwrap_or(Outcome::Ok);
-    let wait = if outcome == Outcome::Full { rng.u64(0..3) * 700 * MILLISECOND } else { 0 };
+    let wait = if outcome == Outcome::Rejected { rng.u64(0..3) * 700 * MILLISECOND } else { 0 };
     harness.end_attempt(*id, *attempt, outcome, wait);
 }
 
@@ -134,11 +135,11 @@
             20 => change_list(&mut harness, &mut rng, &endpoints),
             21 => {
                 let target = 1 + rng.u32(0..endpoints.len() as u32);
-                harness.process(Event::ByHand { target, out: rng.bool() });
+                harness.process(Event::EndpointAdminState { target, disabled: rng.bool() });
             }
             22 => {
-                let state = harness.policy.hand_over().unwrap();
-                harness.policy = DeliveryPolicy::take_over(&state, harness.settings.clone()).unwrap();
+                let state = harness.policy.export_state().unwrap();
+                harness.policy = DeliveryPolicy::import_state(&state, harness.settings.clone()).unwrap();
             }
             23..=24 => harness.advance(rng.u64(5..900) * profile.pause_unit, never_responds),
             _ => {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -32,15 +32,15 @@
 impl ConnectionLimitedFleet {
     fn new(replicas: usize, connection_limit: usize) -> ConnectionLimitedFleet {
         let class =
-            Class { aim: 2 * SECOND, deadline: 9 * SECOND, window: 9 * SECOND, ..class(Effect::Keyed) };
+            Class { aim: 2 * SECOND, deadline: 9 * SECOND, deduplication_window: 9 * SECOND, ..class(RetrySafety::Keyed) };
         let settings = Settings {
-            senders: replicas as u32,
+            replicas: replicas as u32,
             slots: 4,
             max_attempts: 4,
-            connection_idle: 8 * SECOND,
+            connection_idle_timeout: 8 * SECOND,
             ..settings(vec![class])
         };
-        let connection_idle = settings.connection_idle;
+        let connection_idle = settings.connection_idle_timeout;
         let mut fleet = ConnectionLimitedFleet {
             now: 5 * SECOND,
             connection_limit,
@@ -105,8 +105,16 @@
             }
             let outcome = if accepted { Outcome::Ok } else { Outcome::TooManyConnections };
             let (took, ended) = (now - at, accepted);
-            let event =
-                Event::Outcome { id, attempt, target: 1, outcome, took, ended, wait: 0, report: None };
+            let event = Event::AttemptEnded {
+                id,
+                attempt,
+                target: 1,
+                outcome,
+                took,
+                message_ended: ended,
+                retry_after: 0,
+                report: None,
+            };
             let mut actions = Vec::new();
             self.replicas[replica].handle(now, event, &mut actions);
             self.execute(replica, actions);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -94,7 +94,7 @@
 /// The version that a watch continues from, or none for a request for the full list.
 fn known_version(received: &ReceivedRequest) -> Option<u64> {
     match received.request {
-        ListRequest::WholeList => None,
+        ListRequest::FullList => None,
         ListRequest::Watch { since, .. } => Some(since),
     }
 }
@@ -121,7 +121,7 @@
             watch(None, SECOND_ADDRESS)
         ]
     );
-    let [DiscoveryEvent::UnusableReply { status, error: Some(_) }, DiscoveryEvent::List(list)] = &events[..]
+    let [DiscoveryEvent::InvalidReply { status, error: Some(_) }, DiscoveryEvent::List(list)] = &events[..]
     else {
         panic!("{events:?}")
     };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -19,10 +19,10 @@
 
 #[test]
 fn calls_time_out_at_the_deadline_until_response_times_are_known() {
-    let mut harness = PolicyHarness::new(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)]);
+    let mut harness = PolicyHarness::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)]);
     let first = harness.submit(0, 1, 0);
     assert_eq!(harness.messages[&first].attempts[0].times_out_at, harness.messages[&first].expires);
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
     let attempt = &harness.messages[&id].attempts[0];
     assert!(
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_unsafe_message_is_sent_once_with_its_deadline_as_timeout() {
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
+    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)];
     let mut harness = warm_harness(settings(classes), vec![endpoint(1, 1)], 0);
     let id = harness.submit(1, 1, 0);
     assert_eq!(harness.messages[&id].attempts[0].times_out_at, harness.messages[&id].expires);
@@ -50,12 +50,12 @@
 /// Messages whose deduplication window expired while they were held used to be sent again.
 #[test]
 fn a_keyed_message_is_not_retried_after_its_deduplication_window() {
-    let mut keyed = class(Effect::Keyed);
-    keyed.window = 3 * SECOND;
+    let mut keyed = class(RetrySafety::Keyed);
+    keyed.deduplication_window = 3 * SECOND;
     let mut harness = warm_harness(settings(vec![keyed]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::TimedOut, 0);
-    harness.end_attempt(id, 1, Outcome::Full, 4 * SECOND);
+    harness.end_attempt(id, 1, Outcome::Rejected, 4 * SECOND);
     harness.advance(6 * SECOND, responds_after(80 * MILLISECOND));
     assert_eq!(harness.messages[&id].attempts.len(), 2);
     assert!(harness.messages[&id].ended_at.is_some());
@@ -65,12 +65,12 @@
 /// Where a call carried several messages, the retry-after time of any but the first message used to be ignored.
 #[test]
 fn the_retry_after_of_any_message_in_a_batch_is_respected() {
-    let mut settings = settings(vec![class(Effect::Repeatable)]);
-    settings.batch = vec![4];
+    let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
+    settings.batch_by_kind = vec![4];
     let mut harness = warm_harness(settings, vec![endpoint(1, 1)], 0);
     // Blocks the destination for a while, so that one call then carries several messages.
     let id = harness.submit(0, 1, 0);
-    harness.end_attempt(id, 0, Outcome::Full, 500 * MILLISECOND);
+    harness.end_attempt(id, 0, Outcome::Rejected, 500 * MILLISECOND);
     let ids: Vec<_> = (0..3).map(|_| harness.submit(0, 1, 0)).collect();
     harness.advance(600 * MILLISECOND, |_, _, _| None);
     let batch: Vec<_> = harness
@@ -81,7 +81,7 @@
     assert!(batch.len() >= 2, "{} messages in flight", batch.len());
     let last = batch.len() - 1;
     for (position, (id, index, _)) in batch.iter().enumerate() {
-        harness.end_attempt(*id, *index, Outcome::Full, if position == last { 2 * SECOND } else { 0 });
+        harness.end_attempt(*id, *index, Outcome::Rejected, if position == last { 2 * SECOND } else { 0 });
     }
     harness.advance(5 * SECOND, responds_after(80 * MILLISECOND));
     harness.assert_no_violations();
@@ -90,7 +90,7 @@
 /// Calls to a destination that never responds used to occupy every slot, so that nothing was sent anywhere.
 #[test]
 fn an_unresponsive_destination_does_not_occupy_all_slots() {
-    let mut settings = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe)]);
+    let mut settings = settings(vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)]);
     settings.slots = 8;
     let mut harness = PolicyHarness::new(settings, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
     for _ in 0..60 {
@@ -116,7 +116,7 @@
 /// Half-open probes go one at a time, not as many at once as the concurrency window allows.
 #[test]
 fn an_unresponsive_destination_gets_single_probes_and_then_a_slow_start() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     for _ in 0..40 {
         harness.submit(0, 1, 0);
     }
@@ -139,13 +139,13 @@
 /// The backlog of one destination used to fill the limit on held messages, so that messages for others were refused.
 #[test]
 fn a_backlog_for_one_destination_leaves_room_for_others() {
-    let mut settings = settings(vec![class(Effect::Repeatable)]);
+    let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
     settings.max_held = 60;
     let mut harness = PolicyHarness::new(settings, vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..200 {
         harness.submit(0, 1, 0);
         harness.advance(20 * MILLISECOND, |now, _, attempt| {
-            (now >= attempt.sent_at + 20 * MILLISECOND).then_some((Outcome::Full, 0))
+            (now >= attempt.sent_at + 20 * MILLISECOND).then_some((Outcome::Rejected, 0))
         });
         let held = harness.messages.values().filter(|message| message.ended_at.is_none()).count();
         assert!(held < 60, "{held} held");
@@ -161,9 +161,9 @@
 /// The first rejection by a destination that has shown no limit so far must not stop its traffic for long.
 #[test]
 fn one_rejection_after_steady_success_causes_only_a_short_pause() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
-    harness.end_attempt(id, 0, Outcome::Full, 0);
+    harness.end_attempt(id, 0, Outcome::Rejected, 0);
     harness.advance(2 * SECOND, responds_after(80 * MILLISECOND));
     assert!(harness.messages[&id].delivered);
     harness.assert_no_violations();
@@ -172,7 +172,7 @@
 #[test]
 fn draining_and_removed_endpoints_get_no_new_calls() {
     let mut harness =
-        warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)], 0);
+        warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)], 0);
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
     harness.update_list(ListKind::Delta, vec![draining]);
     let ids: Vec<_> = (0..6).map(|_| harness.submit(0, 1, 0)).collect();
@@ -189,27 +189,27 @@
 #[test]
 fn a_call_is_checked_again_once_its_connection_is_established() {
     let mut harness =
-        PolicyHarness::new(settings(vec![class(Effect::Keyed)]), vec![endpoint(1, 1), endpoint(2, 1)]);
+        PolicyHarness::new(settings(vec![class(RetrySafety::Keyed)]), vec![endpoint(1, 1), endpoint(2, 1)]);
     let id = harness.submit(0, 1, 0);
-    assert!(harness.policy.may_go(harness.now, id, 1) && harness.policy.may_go(harness.now, id, 2));
-    assert!(!harness.policy.may_go(harness.now, id, 3) && !harness.policy.may_go(harness.now, id + 1, 1));
+    assert!(harness.policy.may_still_send(harness.now, id, 1) && harness.policy.may_still_send(harness.now, id, 2));
+    assert!(!harness.policy.may_still_send(harness.now, id, 3) && !harness.policy.may_still_send(harness.now, id + 1, 1));
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
     harness.update_list(ListKind::Delta, vec![draining]);
-    assert!(!harness.policy.may_go(harness.now, id, 1) && harness.policy.may_go(harness.now, id, 2));
+    assert!(!harness.policy.may_still_send(harness.now, id, 1) && harness.policy.may_still_send(harness.now, id, 2));
     let started = harness.now;
     harness.now += SECOND;
     harness.end_attempt(id, 0, Outcome::Reset, 300 * MILLISECOND);
-    assert!(!harness.policy.may_go(harness.now + 290 * MILLISECOND, id, 2));
-    assert!(harness.policy.may_go(started + 9_900 * MILLISECOND, id, 2));
+    assert!(!harness.policy.may_still_send(harness.now + 290 * MILLISECOND, id, 2));
+    assert!(harness.policy.may_still_send(started + 9_900 * MILLISECOND, id, 2));
     // The first attempt may have run, and its deduplication window of 10 s is over.
-    assert!(!harness.policy.may_go(started + 10 * SECOND, id, 2));
-    harness.process(Event::ByHand { target: 2, out: true });
-    assert!(!harness.policy.may_go(started + 9_900 * MILLISECOND, id, 2));
+    assert!(!harness.policy.may_still_send(started + 10 * SECOND, id, 2));
+    harness.process(Event::EndpointAdminState { target: 2, disabled: true });
+    assert!(!harness.policy.may_still_send(started + 9_900 * MILLISECOND, id, 2));
 }
 
 #[test]
 fn a_message_with_less_time_left_than_any_response_takes_is_refused_unsent() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let (id, expires) = (9_000, harness.now + 30 * MILLISECOND);
     let mut out = Vec::new();
     harness.policy.handle(
@@ -225,8 +225,8 @@
 /// Attempts that one of so many replicas makes within `span` after a destination began to fail with this outcome, or to not
 /// respond at all.
 fn attempts_while_failing(replicas: u32, span: u64, outcome: Option<Outcome>, wait: u64) -> usize {
-    let mut settings = settings(vec![class(Effect::Repeatable)]);
-    settings.senders = replicas;
+    let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
+    settings.replicas = replicas;
     settings.max_attempts = 12;
     let mut harness = PolicyHarness::new(settings, vec![endpoint(1, 1)]);
     for _ in 0..3 {
@@ -259,8 +259,8 @@
 #[test]
 fn replicas_of_a_large_fleet_rarely_call_a_failing_destination() {
     for (outcome, wait) in [
-        (Some(Outcome::Full), 0),
-        (Some(Outcome::Full), 3 * SECOND),
+        (Some(Outcome::Rejected), 0),
+        (Some(Outcome::Rejected), 3 * SECOND),
         (Some(Outcome::ConnectFailed), 0),
         (None, 0),
     ] {
@@ -282,7 +282,7 @@
     let closes = |harness: &PolicyHarness| {
         harness.trace.iter().filter(|(_, action)| matches!(action, Action::CloseIdle { .. })).count()
     };
-    let mut busy = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut busy = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let before = closes(&busy);
     busy.submit(0, 1, 0);
     busy.advance(SECOND, responds_after(80 * MILLISECOND));
@@ -291,8 +291,8 @@
     busy.end_attempt(id, 0, Outcome::ConnectFailed, 0);
     busy.advance(3 * SECOND, responds_after(80 * MILLISECOND));
     assert!(busy.messages[&id].delivered && closes(&busy) > before, "kept although connections are scarce");
-    let mut settings = settings(vec![class(Effect::Repeatable)]);
-    settings.connection_idle = SECOND;
+    let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
+    settings.connection_idle_timeout = SECOND;
     let mut rarely_used = PolicyHarness::new(settings, vec![endpoint(1, 1)]);
     for _ in 0..4 {
         rarely_used.submit(0, 1, 0);
@@ -304,7 +304,7 @@
 /// After an endpoint had crashed once, every call to it used to open a new connection for the rest of the day.
 #[test]
 fn connections_are_kept_again_some_time_after_one_failed() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::ConnectFailed, 0);
     let make_calls = |harness: &mut PolicyHarness| {
@@ -330,14 +330,14 @@
 fn messages_end_before_their_deadline_by_the_processing_lag() {
     const LAG: u64 = 200 * MILLISECOND;
     for (has_endpoint, by) in [(false, 0), (false, LAG), (true, 0), (true, LAG)] {
-        let short_lived = Class { deadline: SECOND, ..class(Effect::Repeatable) };
+        let short_lived = Class { deadline: SECOND, ..class(RetrySafety::Repeatable) };
         let one_attempt = Settings { max_attempts: 1, ..settings(vec![short_lived]) };
         let mut harness = PolicyHarness::new(one_attempt, vec![endpoint(1, 1)]);
         if !has_endpoint {
             // No endpoint is left to send to.
             harness.update_list(ListKind::Full, Vec::new());
         }
-        harness.process(Event::Late { by });
+        harness.process(Event::ProcessingLag { lag: by });
         let id = harness.submit(0, 1, 0);
         let expires = harness.messages[&id].expires;
         let before = harness.trace.len();
@@ -359,9 +359,9 @@
 /// A call that the end of the process interrupts may have run; for an unsafe message, that rules out a retry.
 #[test]
 fn no_call_starts_that_would_not_finish_before_shutdown() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let by = harness.now + 3 * SECOND;
-    harness.process(Event::Stopping { by });
+    harness.process(Event::Shutdown { at: by });
     let early = harness.submit(0, 1, 0);
     harness.advance(2900 * MILLISECOND, responds_after(80 * MILLISECOND));
     let late = harness.submit(0, 1, 0);
@@ -373,15 +373,15 @@
 
 #[test]
 fn unexpected_events_are_ignored() {
-    let mut harness = PolicyHarness::new(settings(vec![class(Effect::Keyed)]), vec![endpoint(1, 1)]);
-    let end = |id, attempt, target| Event::Outcome {
+    let mut harness = PolicyHarness::new(settings(vec![class(RetrySafety::Keyed)]), vec![endpoint(1, 1)]);
+    let end = |id, attempt, target| Event::AttemptEnded {
         id,
         attempt,
         target,
         outcome: Outcome::Ok,
         took: 1 << 60,
-        ended: false,
-        wait: 0,
+        message_ended: false,
+        retry_after: 0,
         report: None,
     };
     let id = harness.submit(0, 1, 0);
@@ -389,11 +389,11 @@
     for event in [
         end(77, 0, 1),
         end(id, 9, 1),
-        Event::Lapsed { id: 77 },
+        Event::Abandoned { id: 77 },
         Event::Timer { token: 99 },
-        Event::Started { id: 77, attempt: 0 },
-        Event::Probed { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
-        Event::Peer { from: 1, data: vec![] },
+        Event::StreamStarted { id: 77, attempt: 0 },
+        Event::ProbeEnded { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
+        Event::PeerMessage { from: 1, data: vec![] },
         Event::Request { id: 78, class: 9, destination: 1, order_key: 0, expires: u64::MAX },
         Event::List { kind: ListKind::Failed, version: 0, endpoints: vec![] },
     ] {
@@ -407,7 +407,7 @@
 /// half-open probe was used on one of those, which is never sent and so says nothing: the breaker never closed again.
 #[test]
 fn withdrawn_messages_do_not_use_up_half_open_probes() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let withdrawn: Vec<_> = (0..80).map(|_| harness.submit(0, 1, 0)).collect();
     harness.advance(2 * SECOND, |now, _, attempt| {
         (now >= attempt.sent_at + 10 * MILLISECOND).then_some((Outcome::ConnectFailed, 0))
@@ -434,7 +434,7 @@
 /// arrived about as fast as they could be delivered.
 #[test]
 fn a_stale_backlog_does_not_make_later_messages_late() {
-    let mut harness = warm_harness(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
+    let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     for _ in 0..200 {
         harness.submit(0, 1, 0);
     }
@@ -461,11 +461,11 @@
 #[test]
 fn a_refusal_carries_a_retry_after_only_where_allowed() {
     let retry_afters = |allowed: bool| {
-        let mut settings = settings(vec![class(Effect::Repeatable)]);
-        (settings.may_advise_wait, settings.max_advised_wait, settings.max_held) = (allowed, 2 * SECOND, 40);
+        let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
+        (settings.may_send_retry_after, settings.max_retry_after, settings.max_held) = (allowed, 2 * SECOND, 40);
         let mut harness = warm_harness(settings, vec![endpoint(1, 1)], 0);
         let id = harness.submit(0, 1, 0);
-        harness.end_attempt(id, 0, Outcome::Full, 1500 * MILLISECOND);
+        harness.end_attempt(id, 0, Outcome::Rejected, 1500 * MILLISECOND);
         (0..60).for_each(|_| assert!(harness.submit(0, 1, 0) > id));
         let refused = harness.trace.iter().filter_map(|(_, action)| match action {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
@@ -486,7 +486,7 @@
 #[test]
 fn a_disabled_endpoint_gets_no_calls_and_starts_slowly_once_enabled() {
     let mut harness =
-        PolicyHarness::new(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)]);
+        PolicyHarness::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)]);
     let traffic = |harness: &mut PolicyHarness, span: u64| {
         let (from, before) = (harness.now, harness.attempt_count());
         while harness.now < from + span {
@@ -505,13 +505,13 @@
         (sent, harness.attempt_count() - before)
     };
     traffic(&mut harness, 5 * SECOND);
-    harness.process(Event::ByHand { target: 1, out: true });
-    harness.process(Event::ByHand { target: 1, out: true });
+    harness.process(Event::EndpointAdminState { target: 1, disabled: true });
+    harness.process(Event::EndpointAdminState { target: 1, disabled: true });
     harness.update_list(ListKind::Full, vec![endpoint(1, 1), endpoint(2, 1)]);
     let (sent, all) = traffic(&mut harness, 5 * SECOND);
     assert!(sent == 0 && all > 50, "{sent} of {all} calls while it was disabled");
-    assert_eq!(harness.policy.pool(), Pool { listed: 2, avoided: 1 });
-    harness.process(Event::ByHand { target: 1, out: false });
+    assert_eq!(harness.policy.endpoint_counts(), EndpointCounts { listed: 2, ejected: 1 });
+    harness.process(Event::EndpointAdminState { target: 1, disabled: false });
     let (cold, all) = traffic(&mut harness, 2 * SECOND);
     assert!(cold > 0 && cold * 4 < all, "{cold} of {all} calls while it was cold");
     harness.advance(10 * SECOND, responds_after(40 * MILLISECOND));
@@ -526,15 +526,15 @@
 fn a_successor_decides_as_its_predecessor_would_have() {
     let trace = |takeover: bool| {
         let mut harness = PolicyHarness::new(
-            settings(vec![class(Effect::Keyed), class(Effect::Unsafe)]),
+            settings(vec![class(RetrySafety::Keyed), class(RetrySafety::Unsafe)]),
             (1..=6).map(|target| endpoint(target, target.div_ceil(2))).collect(),
         );
         // Produces several outcomes, depending on the message id and the time alone.
         let respond = |now: u64, id: MessageId, attempt: &Attempt| match id % 41 {
             _ if now < attempt.sent_at + (20 + id % 7 * 15) * MILLISECOND => None,
             0 => None,
-            1 => Some((Outcome::Full, 700 * MILLISECOND)),
-            2 => Some((Outcome::Full, 0)),
+            1 => Some((Outcome::Rejected, 700 * MILLISECOND)),
+            2 => Some((Outcome::Rejected, 0)),
             3 => Some((Outcome::Reset, 0)),
             4 => Some((Outcome::ConnectFailed, 0)),
             _ => Some((Outcome::Ok, 0)),
@@ -545,11 +545,11 @@
                 harness.advance((10 + step * 15) * MILLISECOND, respond);
             }
             if round == 40 {
-                harness.process(Event::ByHand { target: 5, out: true });
+                harness.process(Event::EndpointAdminState { target: 5, disabled: true });
             }
             if takeover && round % 5 == 0 {
-                let state = harness.policy.hand_over().unwrap();
-                harness.policy = DeliveryPolicy::take_over(&state, harness.settings.clone()).unwrap();
+                let state = harness.policy.export_state().unwrap();
+                harness.policy = DeliveryPolicy::import_state(&state, harness.settings.clone()).unwrap();
             }
         }
         harness.advance(5 * SECOND, respond);
@@ -571,14 +571,14 @@
 /// Where two classes waited at a rate limit and one had a tenth of the other's worth, that one used to get nothing.
 #[test]
 fn a_class_of_low_worth_is_not_starved() {
-    let high = Class { worth: 4.0, ..class(Effect::Repeatable) };
+    let high = Class { worth: 4.0, ..class(RetrySafety::Repeatable) };
     let low = Class {
         worth: 0.4,
         aim: 700 * MILLISECOND,
         deadline: 2500 * MILLISECOND,
-        ..class(Effect::Repeatable)
+        ..class(RetrySafety::Repeatable)
     };
-    let settings = Settings { listed_rate: ListedRate::Exact, senders: 1, ..settings(vec![high, low]) };
+    let settings = Settings { listed_rate: ListedRate::Exact, replicas: 1, ..settings(vec![high, low]) };
     let mut harness = PolicyHarness::new(settings, vec![Endpoint { rate: 20.0, ..endpoint(1, 1) }]);
     // Twice the rate limit, a quarter of it of low worth.
     let mut submitted = [Vec::new(), Vec::new()];
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,9 +26,9 @@
 impl Fleet {
     fn new(replicas: u32, limit: f64) -> Fleet {
         let class =
-            Class { aim: 3 * SECOND, deadline: 12 * SECOND, window: 12 * SECOND, ..class(Effect::Keyed) };
+            Class { aim: 3 * SECOND, deadline: 12 * SECOND, deduplication_window: 12 * SECOND, ..class(RetrySafety::Keyed) };
         let settings = Settings {
-            senders: replicas,
+            replicas: senders: replicas,
             slots: 4,
             listed_rate: ListedRate::Exact,
             refused_price: 0.1,
@@ -104,8 +104,16 @@
         self.calls = remaining;
         for (replica, id, attempt, at) in Vec::from_iter::<Vec<_>>(ended) {
             let (took, ended) = (self.now - at, outcome == Outcome::Ok);
-            let event =
-                Event::Outcome { id, attempt, target: 1, outcome, took, ended, wait: 0, report: None };
+            let event = Event::AttemptEnded {
+                id,
+                attempt,
+                target: 1,
+                outcome,
+                took,
+                message_ended: ended,
+                retry_after: 0,
+                report: None,
+            };
             let mut actions = Vec::new();
             self.replicas[replica].handle(self.now, event, &mut actions);
             self.idle_closes +=
@@ -127,9 +135,9 @@
     // Within a second, each replica in turn gets messages, makes a call and is rejected.
     for replica in 0..100 {
         fleet.submit(replica, 6);
-        fleet.calls_within(STEP, Outcome::Full);
+        fleet.calls_within(STEP, Outcome::Rejected);
     }
-    fleet.calls_within(200 * MILLISECOND, Outcome::Full);
+    fleet.calls_within(200 * MILLISECOND, Outcome::Rejected);
     let seconds: Vec<usize> = (0..8).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
     let all: usize = seconds.iter().sum();
     // What the limit allows in eight seconds, give or take a quarter.
@@ -153,7 +161,7 @@
 fn a_fleet_that_was_rejected_at_once_does_not_retry_at_once() {
     let mut fleet = Fleet::new(100, 25.0);
     (0..100).for_each(|replica| fleet.submit(replica, 6));
-    fleet.calls_within(200 * MILLISECOND, Outcome::Full);
+    fleet.calls_within(200 * MILLISECOND, Outcome::Rejected);
     // The calls that the first pause after a rejection lets through are over by then.
     fleet.calls_within(2 * SECOND, Outcome::Ok);
     let seconds: Vec<usize> = (0..6).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
@@ -166,7 +174,7 @@
 fn a_replica_of_a_large_fleet_saves_up_calls() {
     let mut fleet = Fleet::new(100, 25.0);
     fleet.submit(0, 1);
-    fleet.calls_within(200 * MILLISECOND, Outcome::Full);
+    fleet.calls_within(200 * MILLISECOND, Outcome::Rejected);
     fleet.calls_within(30 * SECOND, Outcome::Ok);
     fleet.submit(0, 2);
     assert_eq!(fleet.calls_within(500 * MILLISECOND, Outcome::Ok), 2);
@@ -178,7 +186,7 @@
 fn a_fleet_returns_to_the_listed_limit() {
     let mut fleet = Fleet::new(100, 200.0);
     (0..100).for_each(|replica| fleet.submit(replica, 10));
-    fleet.calls_within(9 * SECOND, Outcome::Full);
+    fleet.calls_within(9 * SECOND, Outcome::Rejected);
     (0..100).for_each(|replica| fleet.submit(replica, 30));
     fleet.calls_within(5 * SECOND, Outcome::Ok);
     let sent = fleet.calls_within(5 * SECOND, Outcome::Ok);
@@ -252,10 +260,11 @@
 /// The number of calls that a destination may get from all replicas within the overload duration, so long after its return:
 /// the budget that its contract allows at the capacity it has by then, plus twice the square root of the budget and two for
 /// random variation.
-fn allowed_while_cold(limit: f64, since_return: u64, rules: &Rules) -> f64 {
+fn allowed_while_cold(limit: f64, since_return: u64, rules: &DestinationContract) -> f64 {
     let capacity_share =
-        rules.cold_from + (1.0 - rules.cold_from) * (since_return as f64 / rules.ramp_time as f64).min(1.0);
-    let budget = limit * capacity_share * rules.tip_multiple * rules.tip_after as f64 / SECOND as f64;
+        rules.cold_capacity_share
+        + (1.0 - rules.cold_capacity_share) * (since_return as f64 / rules.ramp_time as f64).min(1.0);
+    let budget = limit * capacity_share * rules.overload_factor * rules.overload_duration as f64 / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
@@ -264,7 +273,7 @@
 /// replicas may be restarted after the outage.
 fn highest_cold_load(replicas: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
     let mut fleet = Fleet::new(replicas, if listed { limit } else { 0.0 });
-    let rules = fleet.settings.rules.clone();
+    let rules = fleet.settings.contract.clone();
     let (outage_start, outage_end, end) = (5 * SECOND, 5 * SECOND + outage, 18 * SECOND + outage);
     let (mut calls_by_step, mut due, mut submitted, mut informed) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
     for step in 0..end / STEP {
@@ -290,7 +299,7 @@
             callers.filter(|_| !is_down).map(|replica| informed.contains(&replica)).collect::<Vec<_>>(),
         );
     }
-    let window = (rules.tip_after / STEP) as usize;
+    let window = (rules.overload_duration / STEP) as usize;
     let first = (outage_end / STEP) as usize;
     let worst = (first..calls_by_step.len() - window).map(|from| {
         let calls: Vec<bool> = calls_by_step[from..from + window].iter().flatten().copied().collect();
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -13,14 +13,14 @@
 const LONGER_THAN_IDLE: u64 = 300 * SECOND;
 const SUBMIT_SPAN: u64 = SECOND;
 
-fn short_lived(effect: Effect) -> Class {
+fn short_lived(effect: RetrySafety) -> Class {
     Class { aim: SECOND, deadline: 2 * SECOND, ..class(effect) }
 }
 
 fn idle_settings() -> Settings {
-    let classes = vec![short_lived(Effect::Repeatable), short_lived(Effect::Unsafe)];
+    let classes = vec![short_lived(RetrySafety::Repeatable), short_lived(RetrySafety::Unsafe)];
     let settings = settings(classes);
-    Settings { connection_idle: 2 * SECOND, listed_rate: ListedRate::Exact, ..settings }
+    Settings { connection_idle_timeout: 2 * SECOND, listed_rate: ListedRate::Exact, ..settings }
 }
 
 /// Submits a message and ends its call with this outcome.
@@ -52,7 +52,7 @@
 }
 
 fn has_state(harness: &mut PolicyHarness) -> bool {
-    harness.policy.active_routes() == 1
+    harness.policy.active_route_count() == 1
 }
 
 fn gets_no_calls(harness: &mut PolicyHarness) -> bool {
@@ -63,14 +63,14 @@
 fn a_destination_has_state_from_its_first_message_until_it_is_idle() {
     let endpoints = (1..=1000).map(|number| endpoint(number, number)).collect();
     let mut harness = PolicyHarness::new(idle_settings(), endpoints);
-    assert_eq!((harness.policy.active_routes(), harness.policy.pool().listed), (0, 1000));
+    assert_eq!((harness.policy.active_route_count(), harness.policy.endpoint_counts().listed), (0, 1000));
     for round in 1..=3 {
         make_call(&mut harness, Outcome::Ok, 0);
-        assert_eq!(harness.policy.active_routes(), 1, "in round {round}");
+        assert_eq!(harness.policy.active_route_count(), 1, "in round {round}");
         harness.advance(IDLE_SPAN, never_responds);
-        assert_eq!(harness.policy.active_routes(), 0, "in round {round}");
+        assert_eq!(harness.policy.active_route_count(), 0, "in round {round}");
     }
-    assert_eq!(harness.policy.pool(), Pool { listed: 1000, avoided: 0 });
+    assert_eq!(harness.policy.endpoint_counts(), EndpointCounts { listed: 1000, ejected: 0 });
     assert_eq!(calls_made_for(&mut harness, 5), 5);
     harness.assert_no_violations();
 }
@@ -86,7 +86,7 @@
 const CASES: [Case; 11] = [
     Case {
         name: "a retry-after time",
-        settings: |s| s.rules.tip_after = LONGER_THAN_IDLE,
+        settings: |s| s.contract.overload_duration = LONGER_THAN_IDLE,
         prepare: |harness| make_call(harness, Outcome::Ok, LONGER_THAN_IDLE),
         is_preserved: gets_no_calls,
     },
@@ -104,7 +104,7 @@
     },
     Case {
         name: "a slow start",
-        settings: |s| s.rules.ramp_time = LONGER_THAN_IDLE,
+        settings: |s| s.contract.ramp_time = LONGER_THAN_IDLE,
         prepare: |harness| {
             open_breaker(harness);
             // Enough successes for the failure rate to fall below all thresholds.
@@ -119,7 +119,7 @@
         name: "a rate limit that rejections have lowered",
         settings: |_| {},
         prepare: |harness| {
-            make_call(harness, Outcome::Full, 0);
+            make_call(harness, Outcome::Rejected, 0);
             harness.advance(IDLE_SPAN, responds_after(0));
         },
         is_preserved: has_state,
@@ -138,16 +138,16 @@
         settings: |_| {},
         prepare: |harness| {
             make_call(harness, Outcome::Ok, 0);
-            harness.process(Event::ByHand { target: 1, out: true });
+            harness.process(Event::EndpointAdminState { target: 1, disabled: true });
         },
-        is_preserved: |harness| harness.policy.active_routes() == 0 && gets_no_calls(harness),
+        is_preserved: |harness| harness.policy.active_route_count() == 0 && gets_no_calls(harness),
     },
     Case {
         name: "an endpoint that was enabled again and may be cold",
-        settings: |s| s.rules.ramp_time = LONGER_THAN_IDLE,
+        settings: |s| s.contract.ramp_time = LONGER_THAN_IDLE,
         prepare: |harness| {
-            harness.process(Event::ByHand { target: 1, out: true });
-            harness.process(Event::ByHand { target: 1, out: false });
+            harness.process(Event::EndpointAdminState { target: 1, disabled: true });
+            harness.process(Event::EndpointAdminState { target: 1, disabled: false });
         },
         is_preserved: |harness| (1..15).contains(&calls_made_for(harness, 40)),
     },
@@ -159,7 +159,7 @@
             let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
             harness.update_list(ListKind::Delta, vec![draining]);
         },
-        is_preserved: |harness| harness.policy.active_routes() == 0 && gets_no_calls(harness),
+        is_preserved: |harness| harness.policy.active_route_count() == 0 && gets_no_calls(harness),
     },
     Case {
         name: "a removed endpoint that a list of a lower version still holds",
@@ -171,7 +171,7 @@
         is_preserved: |harness| {
             let outdated = Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint(1, 1)] };
             harness.process(outdated);
-            !harness.policy.lists(1) && gets_no_calls(harness)
+            !harness.policy.is_listed(1) && gets_no_calls(harness)
         },
     },
     Case {
@@ -202,9 +202,9 @@
     make_call(&mut harness, Outcome::Ok, 0);
     harness.update_list(ListKind::Full, vec![endpoint(2, 1)]);
     harness.advance(IDLE_SPAN, never_responds);
-    assert_eq!(harness.policy.pool().listed, 1);
+    assert_eq!(harness.policy.endpoint_counts().listed, 1);
     harness.update_list(ListKind::Full, vec![endpoint(1, 1)]);
-    assert_eq!((calls_made_for(&mut harness, 5), harness.policy.pool().listed), (5, 1));
+    assert_eq!((calls_made_for(&mut harness, 5), harness.policy.endpoint_counts().listed), (5, 1));
     assert!(harness.messages.values().rev().take(5).all(|message| message.attempts[0].target == 1));
     harness.assert_no_violations();
 }
@@ -225,7 +225,7 @@
             .map(|(id, _)| *id)
             .collect();
         assert!(open.is_empty(), "seed {seed}: messages never ended: {open:?}");
-        fewest = fewest.min(harness.policy.active_routes());
+        fewest = fewest.min(harness.policy.active_route_count());
     }
     // Some thirty routes had messages. Those that fail or are limited keep their state.
     assert!(fewest < 10, "each run leaves at least {fewest} routes with state");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -70,14 +70,14 @@
         while self.now < end {
             let due: Vec<_> = self.in_flight.extract_if(.., |(at, _)| *at <= self.now).collect();
             for (_, id) in due {
-                self.notify(Event::Outcome {
+                self.notify(Event::AttemptEnded {
                     id,
                     attempt: u32::from(self.attempted.contains(&id)),
                     target: 1,
                     outcome: Outcome::Ok,
                     took: 50 * MILLISECOND,
-                    ended: true,
-                    wait: 0,
+                    message_ended: true,
+                    retry_after: 0,
                     report: None,
                 });
             }
@@ -102,7 +102,7 @@
 /// restored from the write-ahead log.
 #[test]
 fn restored_messages_are_not_dropped_to_make_room() {
-    let mut settings = settings(vec![class(Effect::Keyed)]);
+    let mut settings = settings(vec![class(RetrySafety::Keyed)]);
     settings.max_held = 100;
     let mut restarted = RestartedPolicy::new(settings, 2.0);
     (1..=99).for_each(|id| restarted.restore(id, 15 * SECOND, 0, None));
@@ -120,7 +120,7 @@
 /// Of 7,442 messages that restarts had restored unsent, 4,141 failed without a call, because newer messages went first.
 #[test]
 fn restored_unsent_messages_go_before_new_ones_in_the_order_of_their_deadlines() {
-    let mut restarted = RestartedPolicy::new(settings(vec![class(Effect::Keyed)]), 20.0);
+    let mut restarted = RestartedPolicy::new(settings(vec![class(RetrySafety::Keyed)]), 20.0);
     // Past their aim, and expired long before all newer messages would have been sent.
     (1..=30).for_each(|id| restarted.restore(id, 6 * SECOND - id * 10 * MILLISECOND, 0, None));
     for id in 1000..1080 {
@@ -137,8 +137,8 @@
 
 #[test]
 fn an_order_key_pauses_after_a_restart_only_if_its_call_may_still_run() {
-    let mut settings = settings(vec![Class { in_order: true, ..class(Effect::Keyed) }]);
-    settings.rules.order_pause = 5 * SECOND;
+    let mut settings = settings(vec![Class { in_order: true, ..class(RetrySafety::Keyed) }]);
+    settings.contract.order_pause = 5 * SECOND;
     let mut restarted = RestartedPolicy::new(settings, 0.0);
     restarted.restore(1, 15 * SECOND, 7, None);
     let started = restarted.now - SECOND;
@@ -154,8 +154,8 @@
 /// short, most of the restored messages had expired by then.
 #[test]
 fn restored_messages_get_a_call_before_they_expire() {
-    let mut settings = settings(vec![class(Effect::Keyed)]);
-    settings.senders = 300;
+    let mut settings = settings(vec![class(RetrySafety::Keyed)]);
+    settings.replicas = 300;
     let first_call = |seed| {
         let mut restarted = RestartedPolicy::with_seed(seed, settings.clone(), 30.0);
         restarted.restore(1, 3 * SECOND, 0, None);
@@ -174,7 +174,7 @@
 /// time left for a retry, and the message counted as one that never got a response.
 #[test]
 fn an_expired_message_is_not_refused() {
-    let mut restarted = RestartedPolicy::new(settings(vec![class(Effect::Repeatable)]), 0.0);
+    let mut restarted = RestartedPolicy::new(settings(vec![class(RetrySafety::Repeatable)]), 0.0);
     let is_refused = |late: u64| {
         let (mut actions, id) = (Vec::new(), 1 + late);
         let expires = restarted.now + SECOND;
@@ -187,7 +187,16 @@
         restarted.now = expires - 1 + late;
         let outcome = Outcome::TimedOut;
         let (attempt, target, took, ended, wait, report) = (0, 1, SECOND, false, 0, None);
-        let event = Event::Outcome { id, attempt, target, outcome, took, ended, wait, report };
+        let event = Event::AttemptEnded {
+            id,
+            attempt,
+            target,
+            outcome,
+            took,
+            message_ended: ended,
+            retry_after: wait,
+            report,
+        };
         restarted.policy.handle(restarted.now, event, &mut actions);
         actions.iter().any(|action| matches!(action, Action::Refuse { id: refused, .. } if *refused == id))
     };
--- a/tests/unsafe_messages.rs
+++ b/tests/unsafe_messages.rs
@@ -15,7 +15,7 @@
 
 /// Two destinations with one endpoint each, the first of which has delivered messages of this class for a while.
 fn warm_harness(class_of_first: usize) -> PolicyHarness {
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
+    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)];
     let mut harness = PolicyHarness::new(settings(classes), vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..60 {
         harness.submit(class_of_first, 1, 0);
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -13,14 +13,15 @@
 
 /// One destination with one endpoint. Each endpoint has a route of its own.
 fn one_destination() -> PolicyHarness {
-    let settings = Settings { routes_apart: vec![true], ..settings(vec![class(Effect::Repeatable)]) };
+    let settings =
+        Settings { route_per_endpoint: vec![true], ..settings(vec![class(RetrySafety::Repeatable)]) };
     PolicyHarness::new(settings, vec![endpoint(1, 1)])
 }
 
 /// Lets the only endpoint reject a message with a retry-after time.
 fn reject_with_retry_after(harness: &mut PolicyHarness) {
     let id = harness.submit(0, 1, 0);
-    harness.end_attempt(id, 0, Outcome::Full, RETRY_AFTER);
+    harness.end_attempt(id, 0, Outcome::Rejected, RETRY_AFTER);
     harness.advance(RETRY_AFTER / 2, never_responds);
     assert!(harness.attempts_in_flight().is_empty(), "a call before the retry-after time");
 }
@@ -68,8 +69,8 @@
 fn a_retry_after_time_ends_after_a_hot_restart() {
     let mut harness = one_destination();
     reject_with_retry_after(&mut harness);
-    let state = harness.policy.hand_over().unwrap();
-    harness.policy = DeliveryPolicy::take_over(&state, harness.settings.clone()).unwrap();
+    let state = harness.policy.export_state().unwrap();
+    harness.policy = DeliveryPolicy::import_state(&state, harness.settings.clone()).unwrap();
     harness.advance(REOPENED_WITHIN, responds_after(0));
     assert!(harness.messages.values().all(|message| message.delivered));
     harness.assert_no_violations();
@@ -79,7 +80,7 @@
 fn no_timer_is_set_for_the_end_of_a_retry_after_time_during_shutdown() {
     let mut harness = one_destination();
     reject_with_retry_after(&mut harness);
-    harness.process(Event::Stopping { by: harness.now });
+    harness.process(Event::Shutdown { at: harness.now });
     let before = harness.trace.len();
     harness.advance(REOPENED_WITHIN, never_responds);
     let due = |(at, action): &(u64, Action)| match action {
