--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -264,7 +264,11 @@
                 let class = &self.settings.classes[message.class];
                 let all_drop_repeats = class.retry_safety == RetrySafety::Keyed
                     && class.deduplication_scope == DeduplicationScope::All;
-                if refuse && possibly_run && class.retry_safety != RetrySafety::Repeatable && !all_drop_repeats {
+                if refuse
+                    && possibly_run
+                    && class.retry_safety != RetrySafety::Repeatable
+                    && !all_drop_repeats
+                {
                     self.violations.push(format!("message {id} refused though it may have run"));
                 }
                 let message = self.messages.get_mut(&id).unwrap();
@@ -313,7 +317,9 @@
         }
         let possibly_run: Vec<_> = message.attempts.iter().filter(|attempt| may_have_run(attempt)).collect();
         match (class.retry_safety, possibly_run.first()) {
-            (RetrySafety::Unsafe, Some(_)) => report_violation("an unsafe message that may have run was repeated"),
+            (RetrySafety::Unsafe, Some(_)) => {
+                report_violation("an unsafe message that may have run was repeated")
+            }
             (RetrySafety::Keyed, Some(first)) => {
                 if self.now > first.sent_at + class.deduplication_window {
                     report_violation("repeated outside its deduplication window");
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -10,7 +10,7 @@
     Submit {
         class: usize,
         destination: u32,
-        order_key: u64,
+        key: u64,
     },
     /// Ends one of the attempts in flight, if there are any.
     EndAttempt {
@@ -34,7 +34,7 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..5usize, 1..4u32, 1..4u64).prop_map(|(class, destination, order_key)| Step::Submit { class, destination, order_key }),
+        6 => (0..5usize, 1..4u32, 1..4u64).prop_map(|(class, destination, key)| Step::Submit { class, destination, key }),
         8 => (0..40usize, 0..12u8, 0..3u64).prop_map(|(which, outcome, wait)| Step::EndAttempt { which, outcome, wait }),
         1 => (1..8u32, 0..3u8).prop_map(|(target, state)| Step::SetState { target, state }),
         1 => (0..9u32).prop_map(|omitted| Step::FullList { omitted }),
@@ -64,8 +64,7 @@
     ordered.in_order = true;
     let mut ordered_unsafe = class(RetrySafety::Unsafe);
     ordered_unsafe.in_order = true;
-    let mut settings =
-        settings(vec![
+    let mut settings = settings(vec![
         class(RetrySafety::Repeatable),
         class(RetrySafety::Unsafe),
         zone_scoped,
@@ -78,9 +77,7 @@
     let mut harness = PolicyHarness::new(settings, listed_endpoints());
     for step in steps {
         match step {
-            Step::Submit { class, destination, order_key } => {
-                drop(harness.submit(*class, *destination, *order_key))
-            }
+            Step::Submit { class, destination, key } => drop(harness.submit(*class, *destination, *key)),
             Step::EndAttempt { which, outcome, wait } => {
                 let in_flight = harness.attempts_in_flight();
                 if let Some((id, index, _)) = in_flight.get(which % in_flight.len().max(1)) {
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -43,7 +43,8 @@
     let zone_scoped = Class { deduplication_scope: DeduplicationScope::Zone, ..class(RetrySafety::Keyed) };
     let ordered = Class { in_order: true, ..class(RetrySafety::Keyed) };
     let urgent = Class { aim: SECOND, deadline: 4 * SECOND, worth: 3.0, ..class(RetrySafety::Repeatable) };
-    let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe), zone_scoped, ordered, urgent];
+    let classes =
+        vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe), zone_scoped, ordered, urgent];
     let listed_rate = if rng.bool() { ListedRate::Exact } else { ListedRate::Unknown };
     Settings {
         replicas: [1, 2, 30][rng.usize(0..3)],
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -31,8 +31,12 @@
 
 impl ConnectionLimitedFleet {
     fn new(replicas: usize, connection_limit: usize) -> ConnectionLimitedFleet {
-        let class =
-            Class { aim: 2 * SECOND, deadline: 9 * SECOND, deduplication_window: 9 * SECOND, ..class(RetrySafety::Keyed) };
+        let class = Class {
+            aim: 2 * SECOND,
+            deadline: 9 * SECOND,
+            deduplication_window: 9 * SECOND,
+            ..class(RetrySafety::Keyed)
+        };
         let settings = Settings {
             replicas: replicas as u32,
             slots: 4,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -19,7 +19,8 @@
 
 #[test]
 fn calls_time_out_at_the_deadline_until_response_times_are_known() {
-    let mut harness = PolicyHarness::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)]);
+    let mut harness =
+        PolicyHarness::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)]);
     let first = harness.submit(0, 1, 0);
     assert_eq!(harness.messages[&first].attempts[0].times_out_at, harness.messages[&first].expires);
     let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
@@ -191,11 +192,20 @@
     let mut harness =
         PolicyHarness::new(settings(vec![class(RetrySafety::Keyed)]), vec![endpoint(1, 1), endpoint(2, 1)]);
     let id = harness.submit(0, 1, 0);
-    assert!(harness.policy.may_still_send(harness.now, id, 1) && harness.policy.may_still_send(harness.now, id, 2));
-    assert!(!harness.policy.may_still_send(harness.now, id, 3) && !harness.policy.may_still_send(harness.now, id + 1, 1));
+    assert!(
+        harness.policy.may_still_send(harness.now, id, 1)
+            && harness.policy.may_still_send(harness.now, id, 2)
+    );
+    assert!(
+        !harness.policy.may_still_send(harness.now, id, 3)
+            && !harness.policy.may_still_send(harness.now, id + 1, 1)
+    );
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1, 1) };
     harness.update_list(ListKind::Delta, vec![draining]);
-    assert!(!harness.policy.may_still_send(harness.now, id, 1) && harness.policy.may_still_send(harness.now, id, 2));
+    assert!(
+        !harness.policy.may_still_send(harness.now, id, 1)
+            && harness.policy.may_still_send(harness.now, id, 2)
+    );
     let started = harness.now;
     harness.now += SECOND;
     harness.end_attempt(id, 0, Outcome::Reset, 300 * MILLISECOND);
@@ -462,7 +472,8 @@
 fn a_refusal_carries_a_retry_after_only_where_allowed() {
     let retry_afters = |allowed: bool| {
         let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
-        (settings.may_send_retry_after, settings.max_retry_after, settings.max_held) = (allowed, 2 * SECOND, 40);
+        (settings.may_send_retry_after, settings.max_retry_after, settings.max_held) =
+            (allowed, 2 * SECOND, 40);
         let mut harness = warm_harness(settings, vec![endpoint(1, 1)], 0);
         let id = harness.submit(0, 1, 0);
         harness.end_attempt(id, 0, Outcome::Rejected, 1500 * MILLISECOND);
@@ -485,8 +496,10 @@
 /// gets one call at a time, at intervals.
 #[test]
 fn a_disabled_endpoint_gets_no_calls_and_starts_slowly_once_enabled() {
-    let mut harness =
-        PolicyHarness::new(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1), endpoint(2, 1)]);
+    let mut harness = PolicyHarness::new(
+        settings(vec![class(RetrySafety::Repeatable)]),
+        vec![endpoint(1, 1), endpoint(2, 1)],
+    );
     let traffic = |harness: &mut PolicyHarness, span: u64| {
         let (from, before) = (harness.now, harness.attempt_count());
         while harness.now < from + span {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -25,10 +25,14 @@
 
 impl Fleet {
     fn new(replicas: u32, limit: f64) -> Fleet {
-        let class =
-            Class { aim: 3 * SECOND, deadline: 12 * SECOND, deduplication_window: 12 * SECOND, ..class(RetrySafety::Keyed) };
+        let class = Class {
+            aim: 3 * SECOND,
+            deadline: 12 * SECOND,
+            deduplication_window: 12 * SECOND,
+            ..class(RetrySafety::Keyed)
+        };
         let settings = Settings {
-            replicas: senders: replicas,
+            replicas,
             slots: 4,
             listed_rate: ListedRate::Exact,
             refused_price: 0.1,
@@ -261,10 +265,10 @@
 /// the budget that its contract allows at the capacity it has by then, plus twice the square root of the budget and two for
 /// random variation.
 fn allowed_while_cold(limit: f64, since_return: u64, rules: &DestinationContract) -> f64 {
-    let capacity_share =
-        rules.cold_capacity_share
+    let capacity_share = rules.cold_capacity_share
         + (1.0 - rules.cold_capacity_share) * (since_return as f64 / rules.ramp_time as f64).min(1.0);
-    let budget = limit * capacity_share * rules.overload_factor * rules.overload_duration as f64 / SECOND as f64;
+    let budget =
+        limit * capacity_share * rules.overload_factor * rules.overload_duration as f64 / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
