--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,13 +68,13 @@
 }
 
 /// A class of message with the timing that most tests use.
-pub fn class(effect: RetrySafety) -> Class {
+pub fn class(retry_safety: RetrySafety) -> Class {
     Class {
         aim: 2 * SECOND,
         deadline: 20 * SECOND,
         worth: 1.0,
         late_value: 0.5,
-        retry_safety: effect,
+        retry_safety,
         deduplication_window: 10 * SECOND,
         ..Class::default()
     }
@@ -191,8 +191,8 @@
         all.filter(|(_, _, attempt)| attempt.outcome.is_none()).collect()
     }
 
-    /// Ends an attempt; `wait` is the retry-after time of the response, 0 for none.
-    pub fn end_attempt(&mut self, id: MessageId, index: usize, outcome: Outcome, wait: u64) {
+    /// Ends an attempt; `retry_after` is that of the response, 0 for none.
+    pub fn end_attempt(&mut self, id: MessageId, index: usize, outcome: Outcome, retry_after: u64) {
         let now = self.now;
         let Some(message) = self.messages.get_mut(&id) else { return };
         let ended_attempt = &mut message.attempts[index];
@@ -201,15 +201,15 @@
         if outcome == Outcome::Ok && message.ended_at.is_none() {
             (message.ended_at, message.delivered) = (Some(now), true);
         }
-        let ended = message.ended_at.is_some();
+        let message_ended = message.ended_at.is_some();
         let (destination, order_key) = (message.destination, message.order_key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             self.order_pause_ends.insert(order_key, now + self.settings.contract.order_pause);
         }
-        if wait > 0 {
+        if retry_after > 0 {
             let route = if self.has_own_route(target) { target } else { 0 };
             let end = self.retry_after_ends.entry((destination, route)).or_default();
-            *end = (*end).max(now + wait);
+            *end = (*end).max(now + retry_after);
         }
         let attempt = index as u32;
         self.process(Event::AttemptEnded {
@@ -218,8 +218,8 @@
             target,
             outcome,
             took,
-            message_ended: ended,
-            retry_after: wait,
+            message_ended,
+            retry_after,
             report: None,
         });
     }
@@ -262,12 +262,9 @@
                 }
                 let possibly_run = message.attempts.iter().any(may_have_run);
                 let class = &self.settings.classes[message.class];
-                let all_drop_repeats = class.retry_safety == RetrySafety::Keyed
+                let all_deduplicate = class.retry_safety == RetrySafety::Keyed
                     && class.deduplication_scope == DeduplicationScope::All;
-                if refuse
-                    && possibly_run
-                    && class.retry_safety != RetrySafety::Repeatable
-                    && !all_drop_repeats
+                if refuse && possibly_run && class.retry_safety != RetrySafety::Repeatable && !all_deduplicate
                 {
                     self.violations.push(format!("message {id} refused though it may have run"));
                 }
@@ -318,16 +315,16 @@
         let possibly_run: Vec<_> = message.attempts.iter().filter(|attempt| may_have_run(attempt)).collect();
         match (class.retry_safety, possibly_run.first()) {
             (RetrySafety::Unsafe, Some(_)) => {
-                report_violation("an unsafe message that may have run was repeated")
+                report_violation("an unsafe message that may have run was retried")
             }
             (RetrySafety::Keyed, Some(first)) => {
                 if self.now > first.sent_at + class.deduplication_window {
-                    report_violation("repeated outside its deduplication window");
+                    report_violation("retried outside its deduplication window");
                 }
                 if class.deduplication_scope == DeduplicationScope::Zone
                     && self.endpoints[&first.target].zone != endpoint.zone
                 {
-                    report_violation("repeated outside the zone of its first attempt");
+                    report_violation("retried outside the zone of its first attempt");
                 }
             }
             _ => {}
@@ -380,7 +377,7 @@
     }
 
     /// Advances time in ticks. `respond` gives the outcome of an attempt and its retry-after time, or none while the
-    /// call is in flight.
+    /// call stays in flight.
     pub fn advance(
         &mut self, span: u64, mut respond: impl FnMut(u64, MessageId, &Attempt) -> Option<(Outcome, u64)>,
     ) {
@@ -395,8 +392,8 @@
             for (id, index, attempt) in self.attempts_in_flight() {
                 if self.withdrawn.contains(&id) {
                     self.end_attempt(id, index, Outcome::NotSent, 0);
-                } else if let Some((outcome, wait)) = respond(self.now, id, &attempt) {
-                    self.end_attempt(id, index, outcome, wait);
+                } else if let Some((outcome, retry_after)) = respond(self.now, id, &attempt) {
+                    self.end_attempt(id, index, outcome, retry_after);
                 } else if self.now >= attempt.times_out_at {
                     self.end_attempt(id, index, Outcome::TimedOut, 0);
                 }
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -12,11 +12,11 @@
         destination: u32,
         key: u64,
     },
-    /// Ends one of the attempts in flight, if there are any.
+    /// Ends one of the attempts in flight, if there are any. A rejection has a retry-after time, in units of 700 ms.
     EndAttempt {
         which: usize,
         outcome: u8,
-        wait: u64,
+        retry_after: u64,
     },
     /// Delivers an update of the list with the new state of one endpoint.
     SetState {
@@ -35,7 +35,7 @@
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5usize, 1..4u32, 1..4u64).prop_map(|(class, destination, key)| Step::Submit { class, destination, key }),
-        8 => (0..40usize, 0..12u8, 0..3u64).prop_map(|(which, outcome, wait)| Step::EndAttempt { which, outcome, wait }),
+        8 => (0..40usize, 0..12u8, 0..3u64).prop_map(|(which, outcome, retry_after)| Step::EndAttempt { which, outcome, retry_after }),
         1 => (1..8u32, 0..3u8).prop_map(|(target, state)| Step::SetState { target, state }),
         1 => (0..9u32).prop_map(|omitted| Step::FullList { omitted }),
         6 => (5..900u64).prop_map(|ms| Step::Advance { span: ms * MILLISECOND }),
@@ -78,7 +78,7 @@
     for step in steps {
         match step {
             Step::Submit { class, destination, key } => drop(harness.submit(*class, *destination, *key)),
-            Step::EndAttempt { which, outcome, wait } => {
+            Step::EndAttempt { which, outcome, retry_after } => {
                 let in_flight = harness.attempts_in_flight();
                 if let Some((id, index, _)) = in_flight.get(which % in_flight.len().max(1)) {
                     let outcomes = [
@@ -89,8 +89,9 @@
                         Outcome::NotSent,
                     ];
                     let outcome = outcomes.get(usize::from(*outcome)).copied().unwrap_or(Outcome::Ok);
-                    let wait = if outcome == Outcome::Rejected { wait * 700 * MILLISECOND } else { 0 };
-                    harness.end_attempt(*id, *index, outcome, wait);
+                    let retry_after =
+                        if outcome == Outcome::Rejected { retry_after * 700 * MILLISECOND } else { 0 };
+                    harness.end_attempt(*id, *index, outcome, retry_after);
                 }
             }
             Step::SetState { target, state } => {
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -39,7 +39,7 @@
 }
 
 fn traffic_settings(rng: &mut Rng, deadline: u64) -> Settings {
-    let class = |effect| Class { deadline, ..class(effect) };
+    let class = |retry_safety| Class { deadline, ..class(retry_safety) };
     let zone_scoped = Class { deduplication_scope: DeduplicationScope::Zone, ..class(RetrySafety::Keyed) };
     let ordered = Class { in_order: true, ..class(RetrySafety::Keyed) };
     let urgent = Class { aim: SECOND, deadline: 4 * SECOND, worth: 3.0, ..class(RetrySafety::Repeatable) };
@@ -115,8 +115,8 @@
     let drawn = failures.get(rng.usize(0..18)).copied();
     let possible = drawn.filter(|outcome| limits_connections || *outcome != Outcome::TooManyConnections);
     let outcome = possible.unwrap_or(Outcome::Ok);
-    let wait = if outcome == Outcome::Rejected { rng.u64(0..3) * 700 * MILLISECOND } else { 0 };
-    harness.end_attempt(*id, *attempt, outcome, wait);
+    let retry_after = if outcome == Outcome::Rejected { rng.u64(0..3) * 700 * MILLISECOND } else { 0 };
+    harness.end_attempt(*id, *attempt, outcome, retry_after);
 }
 
 /// Runs the traffic of this seed, and then until all messages have ended.
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -24,7 +24,7 @@
     in_flight: Vec<Call>,
     /// For each replica, since when each of its idle connections has been idle.
     idle_since: Vec<Vec<u64>>,
-    connection_idle: u64,
+    connection_idle_timeout: u64,
     connections_opened: usize,
     delivered: usize,
 }
@@ -44,7 +44,7 @@
             connection_idle_timeout: 8 * SECOND,
             ..settings(vec![class])
         };
-        let connection_idle = settings.connection_idle_timeout;
+        let connection_idle_timeout = settings.connection_idle_timeout;
         let mut fleet = ConnectionLimitedFleet {
             now: 5 * SECOND,
             connection_limit,
@@ -54,7 +54,7 @@
             attempt_counts: Vec::new(),
             in_flight: Vec::new(),
             idle_since: vec![Vec::new(); replicas],
-            connection_idle,
+            connection_idle_timeout,
             connections_opened: 0,
             delivered: 0,
         };
@@ -98,7 +98,7 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let idle_timeout = self.connection_idle;
+        let idle_timeout = self.connection_idle_timeout;
         self.idle_since.iter_mut().for_each(|idle| idle.retain(|since| now < since + idle_timeout));
         let (ended, remaining): (Vec<Call>, _) = self.in_flight.iter().partition(|call| call.4 <= now);
         self.in_flight = remaining;
@@ -108,14 +108,14 @@
                 self.idle_since[replica].push(now);
             }
             let outcome = if accepted { Outcome::Ok } else { Outcome::TooManyConnections };
-            let (took, ended) = (now - at, accepted);
+            let (took, message_ended) = (now - at, accepted);
             let event = Event::AttemptEnded {
                 id,
                 attempt,
                 target: 1,
                 outcome,
                 took,
-                message_ended: ended,
+                message_ended,
                 retry_after: 0,
                 report: None,
             };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -232,9 +232,9 @@
     assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })));
 }
 
-/// Attempts that one of so many replicas makes within `span` after a destination began to fail with this outcome, or to not
-/// respond at all.
-fn attempts_while_failing(replicas: u32, span: u64, outcome: Option<Outcome>, wait: u64) -> usize {
+/// Attempts that one of so many replicas makes within `span` after a destination began to fail with this outcome, or not to
+/// respond at all. The retry-after time of its responses ends at a multiple of `interval`.
+fn attempts_while_failing(replicas: u32, span: u64, outcome: Option<Outcome>, interval: u64) -> usize {
     let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
     settings.replicas = replicas;
     settings.max_attempts = 12;
@@ -249,18 +249,18 @@
     }
     harness.advance(span, |now, _, attempt| {
         let ended = outcome.filter(|_| now >= attempt.sent_at + 50 * MILLISECOND);
-        ended.map(|outcome| (outcome, (wait_until_next_multiple(wait, now)).min(wait)))
+        ended.map(|outcome| (outcome, (time_to_next_multiple(interval, now)).min(interval)))
     });
     harness.assert_no_violations();
     harness.attempt_count() - before
 }
 
-/// A retry-after time that always ends at a multiple of `wait`, as a destination that reopens at fixed times sends it.
-fn wait_until_next_multiple(wait: u64, now: u64) -> u64 {
-    if wait == 0 {
+/// A retry-after time that always ends at a multiple of the interval, as a destination that opens at fixed times sends it.
+fn time_to_next_multiple(interval: u64, now: u64) -> u64 {
+    if interval == 0 {
         0
     } else {
-        wait - now % wait
+        interval - now % interval
     }
 }
 
@@ -268,20 +268,23 @@
 /// Together they did so often enough to keep it down, or to overload it on its return.
 #[test]
 fn replicas_of_a_large_fleet_rarely_call_a_failing_destination() {
-    for (outcome, wait) in [
+    for (outcome, retry_after) in [
         (Some(Outcome::Rejected), 0),
         (Some(Outcome::Rejected), 3 * SECOND),
         (Some(Outcome::ConnectFailed), 0),
         (None, 0),
     ] {
         let (few, many) = (
-            attempts_while_failing(2, 18 * SECOND, outcome, wait),
-            attempts_while_failing(250, 18 * SECOND, outcome, wait),
+            attempts_while_failing(2, 18 * SECOND, outcome, retry_after),
+            attempts_while_failing(250, 18 * SECOND, outcome, retry_after),
+        );
+        assert!(
+            many <= 8,
+            "{outcome:?}, retry after {retry_after}: {many} attempts in 18 s, {few} as one of two"
         );
-        assert!(many <= 8, "{outcome:?}, retry after {wait}: {many} attempts in 18 s, {few} as one of two");
         assert!(
             few >= many,
-            "{outcome:?}, retry after {wait}: {few} attempts as one of two, {many} among many"
+            "{outcome:?}, retry after {retry_after}: {few} attempts as one of two, {many} among many"
         );
     }
 }
@@ -339,7 +342,7 @@
 #[test]
 fn messages_end_before_their_deadline_by_the_processing_lag() {
     const LAG: u64 = 200 * MILLISECOND;
-    for (has_endpoint, by) in [(false, 0), (false, LAG), (true, 0), (true, LAG)] {
+    for (has_endpoint, lag) in [(false, 0), (false, LAG), (true, 0), (true, LAG)] {
         let short_lived = Class { deadline: SECOND, ..class(RetrySafety::Repeatable) };
         let one_attempt = Settings { max_attempts: 1, ..settings(vec![short_lived]) };
         let mut harness = PolicyHarness::new(one_attempt, vec![endpoint(1, 1)]);
@@ -347,17 +350,17 @@
             // No endpoint is left to send to.
             harness.update_list(ListKind::Full, Vec::new());
         }
-        harness.process(Event::ProcessingLag { lag: by });
+        harness.process(Event::ProcessingLag { lag });
         let id = harness.submit(0, 1, 0);
         let expires = harness.messages[&id].expires;
         let before = harness.trace.len();
         harness.advance(2 * SECOND, never_responds);
         assert_eq!(!harness.messages[&id].attempts.is_empty(), has_endpoint);
         let left = expires as i64 - harness.messages[&id].ended_at.expect("the message has not ended") as i64;
-        let (by, tick) = (by as i64, harness.settings.tick as i64);
+        let (lag, tick) = (lag as i64, harness.settings.tick as i64);
         assert!(
-            (by - tick..=by + 2 * tick).contains(&left),
-            "ended {left} us before its deadline with a lag of {by} us"
+            (lag - tick..=lag + 2 * tick).contains(&left),
+            "ended {left} us before its deadline with a lag of {lag} us"
         );
         let timers =
             harness.trace[before..].iter().filter(|(_, action)| matches!(action, Action::Timer { .. }));
@@ -370,8 +373,8 @@
 #[test]
 fn no_call_starts_that_would_not_finish_before_shutdown() {
     let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
-    let by = harness.now + 3 * SECOND;
-    harness.process(Event::Shutdown { at: by });
+    let at = harness.now + 3 * SECOND;
+    harness.process(Event::Shutdown { at });
     let early = harness.submit(0, 1, 0);
     harness.advance(2900 * MILLISECOND, responds_after(80 * MILLISECOND));
     let late = harness.submit(0, 1, 0);
@@ -486,10 +489,11 @@
     };
     let sent = retry_afters(true);
     assert!(
-        sent.len() > 10 && sent.iter().all(|wait| (1500 * MILLISECOND..=2 * SECOND).contains(wait)),
+        sent.len() > 10
+            && sent.iter().all(|retry_after| (1500 * MILLISECOND..=2 * SECOND).contains(retry_after)),
         "{sent:?}"
     );
-    assert!(retry_afters(false).iter().all(|wait| *wait == 0));
+    assert!(retry_afters(false).iter().all(|retry_after| *retry_after == 0));
 }
 
 /// An endpoint that operators have disabled gets no calls, whatever the list says. Once enabled it is treated as cold: it
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -107,14 +107,14 @@
         let (ended, remaining) = self.calls.iter().partition(|(.., at)| *at <= due);
         self.calls = remaining;
         for (replica, id, attempt, at) in Vec::from_iter::<Vec<_>>(ended) {
-            let (took, ended) = (self.now - at, outcome == Outcome::Ok);
+            let (took, message_ended) = (self.now - at, outcome == Outcome::Ok);
             let event = Event::AttemptEnded {
                 id,
                 attempt,
                 target: 1,
                 outcome,
                 took,
-                message_ended: ended,
+                message_ended,
                 retry_after: 0,
                 report: None,
             };
@@ -264,11 +264,11 @@
 /// The number of calls that a destination may get from all replicas within the overload duration, so long after its return:
 /// the budget that its contract allows at the capacity it has by then, plus twice the square root of the budget and two for
 /// random variation.
-fn allowed_while_cold(limit: f64, since_return: u64, rules: &DestinationContract) -> f64 {
-    let capacity_share = rules.cold_capacity_share
-        + (1.0 - rules.cold_capacity_share) * (since_return as f64 / rules.ramp_time as f64).min(1.0);
+fn allowed_while_cold(limit: f64, since_return: u64, contract: &DestinationContract) -> f64 {
+    let capacity_share = contract.cold_capacity_share
+        + (1.0 - contract.cold_capacity_share) * (since_return as f64 / contract.ramp_time as f64).min(1.0);
     let budget =
-        limit * capacity_share * rules.overload_factor * rules.overload_duration as f64 / SECOND as f64;
+        limit * capacity_share * contract.overload_factor * contract.overload_duration as f64 / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
@@ -277,7 +277,7 @@
 /// replicas may be restarted after the outage.
 fn highest_cold_load(replicas: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
     let mut fleet = Fleet::new(replicas, if listed { limit } else { 0.0 });
-    let rules = fleet.settings.contract.clone();
+    let contract = fleet.settings.contract.clone();
     let (outage_start, outage_end, end) = (5 * SECOND, 5 * SECOND + outage, 18 * SECOND + outage);
     let (mut calls_by_step, mut due, mut submitted, mut informed) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
     for step in 0..end / STEP {
@@ -303,7 +303,7 @@
             callers.filter(|_| !is_down).map(|replica| informed.contains(&replica)).collect::<Vec<_>>(),
         );
     }
-    let window = (rules.overload_duration / STEP) as usize;
+    let window = (contract.overload_duration / STEP) as usize;
     let first = (outage_end / STEP) as usize;
     let worst = (first..calls_by_step.len() - window).map(|from| {
         let calls: Vec<bool> = calls_by_step[from..from + window].iter().flatten().copied().collect();
@@ -311,7 +311,7 @@
         // Only replicas that have seen a call fail break the rule: a window counts if more than two thirds of its calls are
         // theirs.
         let counted = if 3 * by_informed > 2 * calls.len() { calls.len() } else { 0 };
-        counted as f64 / allowed_while_cold(limit, (from - first) as u64 * STEP, &rules)
+        counted as f64 / allowed_while_cold(limit, (from - first) as u64 * STEP, &contract)
     });
     worst.fold(0.0, f64::max)
 }
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -13,8 +13,8 @@
 const LONGER_THAN_IDLE: u64 = 300 * SECOND;
 const SUBMIT_SPAN: u64 = SECOND;
 
-fn short_lived(effect: RetrySafety) -> Class {
-    Class { aim: SECOND, deadline: 2 * SECOND, ..class(effect) }
+fn short_lived(retry_safety: RetrySafety) -> Class {
+    Class { aim: SECOND, deadline: 2 * SECOND, ..class(retry_safety) }
 }
 
 fn idle_settings() -> Settings {
@@ -24,13 +24,13 @@
 }
 
 /// Submits a message and ends its call with this outcome.
-fn make_call(harness: &mut PolicyHarness, outcome: Outcome, wait: u64) {
+fn make_call(harness: &mut PolicyHarness, outcome: Outcome, retry_after: u64) {
     let id = harness.submit(0, 1, 0);
     while harness.attempts_in_flight().is_empty() {
         assert!(harness.messages[&id].ended_at.is_none(), "message {id} has not been sent");
         harness.advance(harness.settings.tick, never_responds);
     }
-    harness.end_attempt(id, 0, outcome, wait);
+    harness.end_attempt(id, 0, outcome, retry_after);
 }
 
 /// The number of calls that are made within a second for so many new messages, each delivered at once.
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -186,17 +186,9 @@
         restarted.policy.decide(restarted.now, &mut actions);
         restarted.now = expires - 1 + late;
         let outcome = Outcome::TimedOut;
-        let (attempt, target, took, ended, wait, report) = (0, 1, SECOND, false, 0, None);
-        let event = Event::AttemptEnded {
-            id,
-            attempt,
-            target,
-            outcome,
-            took,
-            message_ended: ended,
-            retry_after: wait,
-            report,
-        };
+        let (attempt, target, took, message_ended, retry_after, report) = (0, 1, SECOND, false, 0, None);
+        let event =
+            Event::AttemptEnded { id, attempt, target, outcome, took, message_ended, retry_after, report };
         restarted.policy.handle(restarted.now, event, &mut actions);
         actions.iter().any(|action| matches!(action, Action::Refuse { id: refused, .. } if *refused == id))
     };
