--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! the delivery rules.
 #![allow(dead_code)]
 
-pub mod steps;
-pub mod traffic;
+pub mod random_steps;
+pub mod random_traffic;
 
 use hatchline::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::traffic::{run_traffic, TrafficProfile};
+use common::random_traffic::{run_traffic, TrafficProfile};
 use common::*;
 use hatchline::*;
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::steps::{run_cases, run_steps};
+use common::random_steps::{run_cases, run_steps};
 
 #[test]
 fn every_rule_holds_and_every_message_ends() {
--- a/tests/same_actions.rs
+++ b/tests/recorded_actions.rs
@@ -3,12 +3,12 @@
 //! line per run: its name, the number of actions, and a checksum of the actions with their times.
 //!
 //! A commit that changes decisions on purpose, and says so, records the runs again:
-//! `RECORD_ACTIONS=1 cargo test --test same_actions`. One that changes only performance or structure must not.
+//! `RECORD_ACTIONS=1 cargo test --test recorded_actions`. One that changes only performance or structure must not.
 
 mod common;
 
-use common::steps::{run_cases, run_steps};
-use common::traffic::{run_traffic, DENSE};
+use common::random_steps::{run_cases, run_steps};
+use common::random_traffic::{run_traffic, DENSE};
 use common::PolicyHarness;
 use std::cell::RefCell;
 
