--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -49,7 +49,7 @@
     /// When the pause of an order key after an attempt with an uncertain end is over.
     pub order_pause_ends: BTreeMap<u64, u64>,
     pub endpoints: BTreeMap<TargetId, Endpoint>,
-    /// Since when an endpoint has been draining or gone.
+    /// Since when an endpoint has been draining or removed.
     pub leaving_since: BTreeMap<TargetId, u64>,
     /// When the retry-after time of a route ends; target 0 stands for the route that all endpoints of a destination share.
     pub retry_after_ends: BTreeMap<(DestinationId, TargetId), u64>,
--- a/tests/policy_regressions.rs
+++ b/tests/policy_regressions.rs
@@ -221,15 +221,15 @@
 fn a_message_with_less_time_left_than_any_response_takes_is_refused_unsent() {
     let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
     let (id, expires) = (9_000, harness.now + 30 * MILLISECOND);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     harness.policy.handle(
         harness.now,
         Event::Request { id, class: 0, destination: 1, order_key: 0, expires },
-        &mut out,
+        &mut actions,
     );
-    harness.policy.decide(harness.now, &mut out);
-    assert!(out.contains(&Action::Refuse { id, retry_after: 0 }), "{out:?}");
-    assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })));
+    harness.policy.decide(harness.now, &mut actions);
+    assert!(actions.contains(&Action::Refuse { id, retry_after: 0 }), "{actions:?}");
+    assert!(!actions.iter().any(|action| matches!(action, Action::Send { .. })));
 }
 
 /// Attempts that one of so many replicas makes within `span` after a destination began to fail with this outcome, or not to
@@ -398,7 +398,7 @@
         report: None,
     };
     let id = harness.submit(0, 1, 0);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     for event in [
         end(77, 0, 1),
         end(id, 9, 1),
@@ -410,10 +410,10 @@
         Event::Request { id: 78, class: 9, destination: 1, order_key: 0, expires: u64::MAX },
         Event::List { kind: ListKind::Failed, version: 0, endpoints: vec![] },
     ] {
-        harness.policy.handle(harness.now, event, &mut out);
-        harness.policy.decide(harness.now, &mut out);
+        harness.policy.handle(harness.now, event, &mut actions);
+        harness.policy.decide(harness.now, &mut actions);
     }
-    assert!(!out.iter().any(|action| matches!(action, Action::Send { .. })), "{out:?}");
+    assert!(!actions.iter().any(|action| matches!(action, Action::Send { .. })), "{actions:?}");
 }
 
 /// The oldest messages held for a destination with an open circuit breaker had been withdrawn by their clients. Each
