--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -110,15 +110,15 @@
     let (requests, events) = run_client(&replies, options(MODES[0], 1), 1, MILLIS(1_000), true).await;
     let watches: Vec<_> =
         requests.iter().map(|received| (known_version(received), received.address.to_string())).collect();
-    let watch = |version, address: &str| (version, address.to_string());
+    let watch_from = |version, address: &str| (version, address.to_string());
     assert_eq!(
         watches,
         [
-            watch(Some(7), FIRST_ADDRESS),
-            watch(Some(9), FIRST_ADDRESS),
-            watch(None, FIRST_ADDRESS),
-            watch(Some(2), FIRST_ADDRESS),
-            watch(None, SECOND_ADDRESS)
+            watch_from(Some(7), FIRST_ADDRESS),
+            watch_from(Some(9), FIRST_ADDRESS),
+            watch_from(None, FIRST_ADDRESS),
+            watch_from(Some(2), FIRST_ADDRESS),
+            watch_from(None, SECOND_ADDRESS)
         ]
     );
     let [DiscoveryEvent::InvalidReply { status, error: Some(_) }, DiscoveryEvent::List(list)] = &events[..]
