--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -148,7 +148,7 @@
     assert!((150..=250).contains(&all), "{seconds:?}");
 }
 
-/// In fleets of 300, two hundred replicas were restarted after a crash with the messages that they held, and each made a
+/// In fleets of 300, two hundred replicas that had been killed restarted with the messages that they held, and each made a
 /// call at once to destinations that allow 30 calls per second. Rejected calls count against the limit, so that nothing was
 /// delivered for seconds.
 #[test]
