--- a/src/bin/foldtrack/admin_server.rs
+++ b/src/bin/foldtrack/admin_server.rs
@@ -21,18 +21,18 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 /// Connections at once at the most: few, so that callers take no descriptors from the messages.
-pub(crate) const CALLERS: usize = 16;
+pub(crate) const MAX_CONNECTIONS: usize = 16;
 /// A call comes whole within this span: its answer is due 1 s after it began.
-const CALL_WAIT: Duration = Duration::from_millis(600);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 /// Where the node has not answered so long after a caller came, as while it waits to take over, the answer is no.
-const ANSWER_WAIT: Duration = Duration::from_millis(900);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// No call needs a body; a longer one than this is not read.
-const LONGEST_BODY: usize = 4 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024;
 /// Bytes of a call's head at most; the least that the HTTP library takes.
-const BUFFER: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Pauses after the address could not be listened on, or a connection not be accepted.
-const BIND_PAUSE: Duration = Duration::from_millis(500);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves operators for as long as the process runs. Messages go on without it where it cannot listen.
 pub(crate) async fn serve(address: SocketAddr, events: EventSender) {
@@ -41,57 +41,57 @@
             Ok(listener) => break listener,
             Err(error) => eprintln!("admin: listening on {address}: {error}"),
         }
-        sleep(BIND_PAUSE).await;
+        sleep(BIND_RETRY_DELAY).await;
     };
-    let connections = ConnectionLimit::new(CALLERS);
+    let connections = ConnectionLimit::new(MAX_CONNECTIONS);
     loop {
         let accepted = match listener.accept().await {
             Ok((stream, _)) => connections.acquire().await.map(|permit| (stream, permit)),
             Err(_) => None,
         };
-        let Some((stream, (permit, closed))) = accepted else {
-            sleep(ACCEPT_PAUSE).await;
+        let Some((stream, (permit, evicted))) = accepted else {
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let events = events.clone();
         tokio::spawn(async move {
             tokio::select! {
-                () = caller(stream, &events, &permit) => {}
+                () = serve_connection(stream, &events, &permit) => {}
                 // Only a caller that has asked for nothing yet is told to make room.
-                Ok(()) = closed => {}
+                Ok(()) = evicted => {}
             }
         });
     }
 }
 
-async fn caller(stream: TcpStream, events: &EventSender, permit: &ConnectionPermit) {
-    let due = Instant::now() + ANSWER_WAIT;
+async fn serve_connection(stream: TcpStream, events: &EventSender, permit: &ConnectionPermit) {
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     let service = service_fn(|request| {
-        Box::pin(async move { Ok::<_, Infallible>(answer(request, events, permit, due).await) })
+        Box::pin(async move { Ok::<_, Infallible>(respond(request, events, permit, deadline).await) })
     });
-    let mut serving = http1::Builder::new()
-        .max_buf_size(BUFFER)
+    let mut http_connection = http1::Builder::new()
+        .max_buf_size(MAX_HEAD_BYTES)
         .timer(TokioTimer::new())
-        .header_read_timeout(CALL_WAIT)
+        .header_read_timeout(REQUEST_TIMEOUT)
         .keep_alive(false)
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service);
     // Errors are the caller's: it has gone, or does not speak HTTP.
-    let _ = poll_fn(|cx| serving.poll_without_shutdown(cx)).await;
-    streams::lingering_close(serving.into_parts().io.into_inner()).await;
+    let _ = poll_fn(|cx| http_connection.poll_without_shutdown(cx)).await;
+    streams::lingering_close(http_connection.into_parts().io.into_inner()).await;
 }
 
-async fn answer(
-    request: Request<Incoming>, events: &EventSender, permit: &ConnectionPermit, due: Instant,
+async fn respond(
+    request: Request<Incoming>, events: &EventSender, permit: &ConnectionPermit, deadline: Instant,
 ) -> Response<Full<Bytes>> {
     permit.mark_active();
-    let AdminResponse { status, text } = match understand(request.method(), request.uri().path()) {
-        Ok(asked) => match read_body(request.into_body()).await {
-            Ok(()) => put(asked, events, due).await,
+    let AdminResponse { status, text } = match parse_request(request.method(), request.uri().path()) {
+        Ok(admin_request) => match read_body(request.into_body()).await {
+            Ok(()) => ask_node(admin_request, events, deadline).await,
             Err(status) => AdminResponse::new(status, ""),
         },
-        Err(Wrong::Unknown) => AdminResponse::new(StatusCode::NOT_FOUND, ""),
-        Err(Wrong::Method(allowed)) => {
+        Err(RequestError::UnknownPath) => AdminResponse::new(StatusCode::NOT_FOUND, ""),
+        Err(RequestError::MethodNotAllowed(allowed)) => {
             let mut response = Response::new(Full::default());
             *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
             response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
@@ -106,38 +106,38 @@
 
 /// Why a call means nothing; with the method that its path takes, where it is that.
 #[derive(Debug, PartialEq, Eq)]
-enum Wrong {
-    Unknown,
-    Method(&'static str),
+enum RequestError {
+    UnknownPath,
+    MethodNotAllowed(&'static str),
 }
 
-fn understand(method: &Method, path: &str) -> Result<AdminRequest, Wrong> {
-    let rest = path.strip_prefix("/-/").ok_or(Wrong::Unknown)?;
-    let (request, wanted) = match rest {
+fn parse_request(method: &Method, path: &str) -> Result<AdminRequest, RequestError> {
+    let rest = path.strip_prefix("/-/").ok_or(RequestError::UnknownPath)?;
+    let (request, expected) = match rest {
         "ready" => (AdminRequest::Ready, Method::GET),
         "metrics" => (AdminRequest::Metrics, Method::GET),
         _ => {
             let named = rest.strip_prefix("endpoints/").and_then(|rest| rest.rsplit_once('/'));
-            let (id, verb) = named.filter(|(id, _)| !id.is_empty()).ok_or(Wrong::Unknown)?;
+            let (id, verb) = named.filter(|(id, _)| !id.is_empty()).ok_or(RequestError::UnknownPath)?;
             match verb {
                 "disable" => (AdminRequest::Disable(id.to_string()), Method::POST),
                 "enable" => (AdminRequest::Enable(id.to_string()), Method::POST),
-                _ => return Err(Wrong::Unknown),
+                _ => return Err(RequestError::UnknownPath),
             }
         }
     };
-    if *method == wanted {
+    if *method == expected {
         return Ok(request);
     }
-    Err(Wrong::Method(if wanted == Method::GET { "GET" } else { "POST" }))
+    Err(RequestError::MethodNotAllowed(if expected == Method::GET { "GET" } else { "POST" }))
 }
 
 /// A call counts once all of it has come: half a call has no effect.
 async fn read_body(body: Incoming) -> Result<(), StatusCode> {
-    if body.size_hint().lower() > LONGEST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    match timeout(CALL_WAIT, Limited::new(body, LONGEST_BODY).collect()).await {
+    match timeout(REQUEST_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Ok(Err(_)) => Err(StatusCode::BAD_REQUEST),
@@ -146,11 +146,11 @@
 }
 
 /// An answer that is not awaited any more is no, and its call has no effect.
-async fn put(request: AdminRequest, events: &EventSender, due: Instant) -> AdminResponse {
-    let (reply, told) = oneshot::channel();
+async fn ask_node(request: AdminRequest, events: &EventSender, deadline: Instant) -> AdminResponse {
+    let (reply, response) = oneshot::channel();
     events.send(NodeEvent::Admin { request, reply });
-    match timeout_at(due, told).await {
-        Ok(Ok(told)) => told,
+    match timeout_at(deadline, response).await {
+        Ok(Ok(response)) => response,
         _ => AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "not at present\n"),
     }
 }
@@ -160,18 +160,18 @@
     use super::*;
 
     #[test]
-    fn only_the_calls_of_the_page_are_understood() {
-        let get = |path| understand(&Method::GET, path);
-        let post = |path| understand(&Method::POST, path);
+    fn only_known_requests_are_parsed() {
+        let get = |path| parse_request(&Method::GET, path);
+        let post = |path| parse_request(&Method::POST, path);
         assert_eq!(get("/-/ready"), Ok(AdminRequest::Ready));
         assert_eq!(get("/-/metrics"), Ok(AdminRequest::Metrics));
         assert_eq!(post("/-/endpoints/s-1/disable"), Ok(AdminRequest::Disable("s-1".into())));
         assert_eq!(post("/-/endpoints/s-1/enable"), Ok(AdminRequest::Enable("s-1".into())));
-        assert_eq!(get("/-/endpoints/s-1/enable"), Err(Wrong::Method("POST")));
-        assert_eq!(post("/-/metrics"), Err(Wrong::Method("GET")));
+        assert_eq!(get("/-/endpoints/s-1/enable"), Err(RequestError::MethodNotAllowed("POST")));
+        assert_eq!(post("/-/metrics"), Err(RequestError::MethodNotAllowed("GET")));
         for path in ["/", "/-/", "/-/endpoints", "/-/endpoints/disable", "/-/endpoints//disable", "/-/readyz"]
         {
-            assert_eq!(post(path), Err(Wrong::Unknown), "{path}");
+            assert_eq!(post(path), Err(RequestError::UnknownPath), "{path}");
         }
     }
 }
--- a/src/bin/foldtrack/admission.rs
+++ b/src/bin/foldtrack/admission.rs
@@ -15,49 +15,55 @@
 
 struct Queue {
     /// How many may pass in one turn of the runtime, in which all else that is ready has its turn as well.
-    width: usize,
+    per_turn: usize,
     /// How many may pass yet in this turn.
-    room: usize,
-    waiting: VecDeque<oneshot::Sender<()>>,
+    remaining: usize,
+    waiters: VecDeque<oneshot::Sender<()>>,
     /// Turns are being counted.
-    turning: bool,
+    turn_task_running: bool,
     /// Whose turn it is: the newest's or the oldest's.
-    oldest: bool,
+    pick_oldest: bool,
 }
 
 impl Queue {
     /// The newest can be answered in time yet, while the oldest may have gone: each has every other pass.
-    fn next(&mut self) -> Option<oneshot::Sender<()>> {
-        self.oldest = !self.oldest;
-        if self.oldest {
-            self.waiting.pop_front()
+    fn next_waiter(&mut self) -> Option<oneshot::Sender<()>> {
+        self.pick_oldest = !self.pick_oldest;
+        if self.pick_oldest {
+            self.waiters.pop_front()
         } else {
-            self.waiting.pop_back()
+            self.waiters.pop_back()
         }
     }
 
     /// A turn is over: whether another has to be counted.
-    fn turn(&mut self) -> bool {
-        let idle = self.room == self.width;
-        self.room = self.width;
-        while self.room > 0 {
-            let Some(next) = self.next() else { break };
+    fn start_turn(&mut self) -> bool {
+        let idle = self.remaining == self.per_turn;
+        self.remaining = self.per_turn;
+        while self.remaining > 0 {
+            let Some(waiter) = self.next_waiter() else { break };
             // One that has ended meanwhile takes no room.
-            self.room -= usize::from(next.send(()).is_ok());
+            self.remaining -= usize::from(waiter.send(()).is_ok());
         }
-        self.turning = !(idle && self.room == self.width);
-        self.turning
+        self.turn_task_running = !(idle && self.remaining == self.per_turn);
+        self.turn_task_running
     }
 }
 
 /// Where the connections of all clients pass, with each request.
 #[derive(Clone)]
-pub(crate) struct Turnstile(Arc<Mutex<Queue>>);
-
-impl Turnstile {
-    pub fn new(width: usize) -> Turnstile {
-        let queue = Queue { width, room: 0, waiting: VecDeque::new(), turning: false, oldest: false };
-        Turnstile(Arc::new(Mutex::new(queue)))
+pub(crate) struct AdmissionLimiter(Arc<Mutex<Queue>>);
+
+impl AdmissionLimiter {
+    pub fn new(per_turn: usize) -> AdmissionLimiter {
+        let queue = Queue {
+            per_turn,
+            remaining: 0,
+            waiters: VecDeque::new(),
+            turn_task_running: false,
+            pick_oldest: false,
+        };
+        AdmissionLimiter(Arc::new(Mutex::new(queue)))
     }
 
     fn queue(&self) -> MutexGuard<'_, Queue> {
@@ -66,52 +72,52 @@
     }
 
     /// Passes, or has to wait.
-    fn enter(&self) -> Option<oneshot::Receiver<()>> {
+    fn admit_or_queue(&self) -> Option<oneshot::Receiver<()>> {
         let mut queue = self.queue();
-        if !queue.turning {
-            (queue.turning, queue.room) = (true, queue.width);
-            let stile = self.clone();
+        if !queue.turn_task_running {
+            (queue.turn_task_running, queue.remaining) = (true, queue.per_turn);
+            let limiter = self.clone();
             tokio::spawn(async move {
                 yield_now().await;
-                while stile.queue().turn() {
+                while limiter.queue().start_turn() {
                     yield_now().await;
                 }
             });
         }
-        if queue.room > 0 {
-            queue.room -= 1;
+        if queue.remaining > 0 {
+            queue.remaining -= 1;
             return None;
         }
-        let (pass, passes) = oneshot::channel();
-        queue.waiting.push_back(pass);
-        Some(passes)
+        let (admit, admitted) = oneshot::channel();
+        queue.waiters.push_back(admit);
+        Some(admitted)
     }
 }
 
 /// One connection's wait at the turnstile.
-pub(crate) struct Ticket {
-    stile: Turnstile,
-    waits: Option<(Instant, oneshot::Receiver<()>)>,
+pub(crate) struct AdmissionWaiter {
+    limiter: AdmissionLimiter,
+    pending: Option<(Instant, oneshot::Receiver<()>)>,
 }
 
-impl Ticket {
-    pub fn new(stile: &Turnstile) -> Ticket {
-        Ticket { stile: stile.clone(), waits: None }
+impl AdmissionWaiter {
+    pub fn new(limiter: &AdmissionLimiter) -> AdmissionWaiter {
+        AdmissionWaiter { limiter: limiter.clone(), pending: None }
     }
 
     /// Passes once, and tells how long that took.
-    pub fn poll_pass(&mut self, cx: &mut Context) -> Poll<Duration> {
-        if self.waits.is_none() {
-            let Some(passes) = self.stile.enter() else { return Poll::Ready(Duration::ZERO) };
-            self.waits = Some((Instant::now(), passes));
+    pub fn poll_admitted(&mut self, cx: &mut Context) -> Poll<Duration> {
+        if self.pending.is_none() {
+            let Some(admitted) = self.limiter.admit_or_queue() else { return Poll::Ready(Duration::ZERO) };
+            self.pending = Some((Instant::now(), admitted));
         }
-        let Some((since, passes)) = &mut self.waits else { return Poll::Ready(Duration::ZERO) };
+        let Some((since, admitted)) = &mut self.pending else { return Poll::Ready(Duration::ZERO) };
         // The turnstile is never gone: the ticket holds it.
         let waited = since.elapsed();
-        if Pin::new(passes).poll(cx).is_pending() {
+        if Pin::new(admitted).poll(cx).is_pending() {
             return Poll::Pending;
         }
-        self.waits = None;
+        self.pending = None;
         Poll::Ready(waited)
     }
 }
@@ -121,25 +127,25 @@
     use super::*;
 
     /// Who has passed among tickets that came in the order of their numbers.
-    fn passed(tickets: &mut [Ticket], done: &mut Vec<usize>) {
+    fn poll_all(waiters: &mut [AdmissionWaiter], admitted: &mut Vec<usize>) {
         let mut cx = Context::from_waker(std::task::Waker::noop());
-        for (i, ticket) in tickets.iter_mut().enumerate() {
-            if !done.contains(&i) && ticket.poll_pass(&mut cx).is_ready() {
-                done.push(i);
+        for (i, waiter) in waiters.iter_mut().enumerate() {
+            if !admitted.contains(&i) && waiter.poll_admitted(&mut cx).is_ready() {
+                admitted.push(i);
             }
         }
     }
 
     #[tokio::test]
-    async fn a_few_pass_in_each_turn_the_oldest_and_the_newest_by_turns() {
-        let stile = Turnstile::new(2);
-        let mut tickets: Vec<_> = (0..8).map(|_| Ticket::new(&stile)).collect();
-        let mut done = Vec::new();
+    async fn each_turn_admits_a_few_alternating_oldest_and_newest() {
+        let limiter = AdmissionLimiter::new(2);
+        let mut waiters: Vec<_> = (0..8).map(|_| AdmissionWaiter::new(&limiter)).collect();
+        let mut admitted = Vec::new();
         let mut turns = Vec::new();
-        while done.len() < 8 {
-            let before = done.len();
-            passed(&mut tickets, &mut done);
-            let mut turn = done[before..].to_vec();
+        while admitted.len() < 8 {
+            let before = admitted.len();
+            poll_all(&mut waiters, &mut admitted);
+            let mut turn = admitted[before..].to_vec();
             turn.sort_unstable();
             turns.extend((!turn.is_empty()).then_some(turn));
             yield_now().await;
@@ -148,32 +154,32 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_pass_tells_how_long_it_took() {
-        let stile = Turnstile::new(1);
-        let (mut first, mut second) = (Ticket::new(&stile), Ticket::new(&stile));
+    async fn poll_admitted_reports_the_wait() {
+        let limiter = AdmissionLimiter::new(1);
+        let (mut first, mut second) = (AdmissionWaiter::new(&limiter), AdmissionWaiter::new(&limiter));
         let mut cx = Context::from_waker(std::task::Waker::noop());
-        assert_eq!(first.poll_pass(&mut cx), Poll::Ready(Duration::ZERO));
-        assert!(second.poll_pass(&mut cx).is_pending());
+        assert_eq!(first.poll_admitted(&mut cx), Poll::Ready(Duration::ZERO));
+        assert!(second.poll_admitted(&mut cx).is_pending());
         let late = Duration::from_millis(150);
         tokio::time::advance(late).await;
         yield_now().await;
-        assert_eq!(second.poll_pass(&mut cx), Poll::Ready(late));
+        assert_eq!(second.poll_admitted(&mut cx), Poll::Ready(late));
     }
 
     #[tokio::test]
-    async fn one_that_ends_while_it_waits_takes_no_room_and_a_quiet_turnstile_stands_still() {
-        let stile = Turnstile::new(1);
-        let mut tickets: Vec<_> = (0..3).map(|_| Ticket::new(&stile)).collect();
-        passed(&mut tickets, &mut Vec::new());
-        tickets.remove(1);
-        let mut done = vec![0];
+    async fn a_dropped_waiter_takes_no_slot_and_an_idle_limiter_ends_its_task() {
+        let limiter = AdmissionLimiter::new(1);
+        let mut waiters: Vec<_> = (0..3).map(|_| AdmissionWaiter::new(&limiter)).collect();
+        poll_all(&mut waiters, &mut Vec::new());
+        waiters.remove(1);
+        let mut admitted = vec![0];
         yield_now().await;
         yield_now().await;
-        passed(&mut tickets, &mut done);
-        assert_eq!(done, [0, 1]);
+        poll_all(&mut waiters, &mut admitted);
+        assert_eq!(admitted, [0, 1]);
         for _ in 0..4 {
             yield_now().await;
         }
-        assert!(!stile.queue().turning);
+        assert!(!limiter.queue().turn_task_running);
     }
 }
--- a/src/bin/foldtrack/connection_limit.rs
+++ b/src/bin/foldtrack/connection_limit.rs
@@ -8,83 +8,83 @@
 
 /// The connections that have asked for nothing yet, in the order in which they came, and what closes them.
 #[derive(Default)]
-struct Newcomers {
-    next: u64,
-    closers: BTreeMap<u64, oneshot::Sender<()>>,
+struct EvictionCandidates {
+    next_number: u64,
+    close_signals: BTreeMap<u64, oneshot::Sender<()>>,
 }
 
 type Shared<T> = Arc<Mutex<T>>;
 
-fn lock(all: &Shared<Newcomers>) -> MutexGuard<'_, Newcomers> {
+fn lock(candidates: &Shared<EvictionCandidates>) -> MutexGuard<'_, EvictionCandidates> {
     // Each change is one call on the map: a panic elsewhere leaves it whole.
-    all.lock().unwrap_or_else(PoisonError::into_inner)
+    candidates.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// The newcomer that has been silent longest is to make room.
-fn close_oldest(all: &Shared<Newcomers>) {
-    let oldest = lock(all).closers.pop_first();
-    if let Some((_, closer)) = oldest {
+fn evict_oldest(candidates: &Shared<EvictionCandidates>) {
+    let oldest = lock(candidates).close_signals.pop_first();
+    if let Some((_, close_signal)) = oldest {
         // One that has just ended by itself makes room too.
-        let _ = closer.send(());
+        let _ = close_signal.send(());
     }
 }
 
 /// The places of one listener.
 #[derive(Clone)]
 pub(crate) struct ConnectionLimit {
-    free: Arc<Semaphore>,
-    most: usize,
-    newcomers: Shared<Newcomers>,
+    semaphore: Arc<Semaphore>,
+    limit: usize,
+    candidates: Shared<EvictionCandidates>,
 }
 
 /// A connection's place, free again when this is dropped. Until it is settled the connection is a newcomer, which
 /// makes room for a later one where all places are taken.
 pub(crate) struct ConnectionPermit {
     number: u64,
-    newcomers: Shared<Newcomers>,
-    settled: AtomicBool,
+    candidates: Shared<EvictionCandidates>,
+    active: AtomicBool,
     _permit: OwnedSemaphorePermit,
 }
 
 impl ConnectionLimit {
-    pub fn new(most: usize) -> ConnectionLimit {
-        ConnectionLimit { free: Arc::new(Semaphore::new(most)), most, newcomers: Shared::default() }
+    pub fn new(limit: usize) -> ConnectionLimit {
+        ConnectionLimit { semaphore: Arc::new(Semaphore::new(limit)), limit, candidates: Shared::default() }
     }
 
     /// How many are taken.
     pub fn in_use(&self) -> usize {
-        self.most.saturating_sub(self.free.available_permits())
+        self.limit.saturating_sub(self.semaphore.available_permits())
     }
 
     /// Keeps places free, as many as there are of so many.
     pub fn reserve(&self, count: usize) -> Option<OwnedSemaphorePermit> {
-        let count = count.min(self.free.available_permits());
-        self.free.clone().try_acquire_many_owned(u32::try_from(count).ok()?).ok()
+        let count = count.min(self.semaphore.available_permits());
+        self.semaphore.clone().try_acquire_many_owned(u32::try_from(count).ok()?).ok()
     }
 
     /// A place, and what tells that it is to be given up. Where there is none, the connection that has been silent
     /// longest makes room.
     pub async fn acquire(&self) -> Option<(ConnectionPermit, oneshot::Receiver<()>)> {
-        let permit = match self.free.clone().try_acquire_owned() {
+        let permit = match self.semaphore.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                close_oldest(&self.newcomers);
-                self.free.clone().acquire_owned().await.ok()?
+                evict_oldest(&self.candidates);
+                self.semaphore.clone().acquire_owned().await.ok()?
             }
         };
-        let (closer, closed) = oneshot::channel();
-        let mut newcomers = lock(&self.newcomers);
-        let number = newcomers.next;
-        newcomers.next += 1;
-        newcomers.closers.insert(number, closer);
+        let (close_signal, evicted) = oneshot::channel();
+        let mut candidates = lock(&self.candidates);
+        let number = candidates.next_number;
+        candidates.next_number += 1;
+        candidates.close_signals.insert(number, close_signal);
         Some((
             ConnectionPermit {
                 number,
-                newcomers: self.newcomers.clone(),
-                settled: AtomicBool::new(false),
+                candidates: self.candidates.clone(),
+                active: AtomicBool::new(false),
                 _permit: permit,
             },
-            closed,
+            evicted,
         ))
     }
 }
@@ -92,17 +92,17 @@
 impl ConnectionPermit {
     /// The connection has asked for something: it keeps its place.
     pub fn mark_active(&self) {
-        self.settled.store(true, Ordering::Relaxed);
-        lock(&self.newcomers).closers.remove(&self.number);
+        self.active.store(true, Ordering::Relaxed);
+        lock(&self.candidates).close_signals.remove(&self.number);
     }
 
     /// Told to make room, a connection that has settled meanwhile has the next newcomer do so. Whether it may stay.
     pub fn decline_eviction(&self) -> bool {
-        let settled = self.settled.load(Ordering::Relaxed);
-        if settled {
-            close_oldest(&self.newcomers);
+        let active = self.active.load(Ordering::Relaxed);
+        if active {
+            evict_oldest(&self.candidates);
         }
-        settled
+        active
     }
 }
 
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -111,9 +111,9 @@
 pub(crate) struct EventSender(UnboundedSender<NodeEvent>);
 
 impl EventSender {
-    pub fn send(&self, input: NodeEvent) {
+    pub fn send(&self, event: NodeEvent) {
         // The node is gone only when the process ends.
-        let _ = self.0.send(input);
+        let _ = self.0.send(event);
     }
 }
 
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -11,68 +11,69 @@
 
 /// Counts since the last line.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
-    pub taken: u32,
+pub(crate) struct IntervalStats {
+    pub accepted: u32,
     pub refused: u32,
     /// Refused for want of time, before they were decided on.
-    pub turned_away: u32,
+    pub refused_late: u32,
     handed_back: u32,
     given_up: u32,
     /// Clients that went before their answer was written.
-    pub gone: u32,
+    pub clients_gone: u32,
     /// Calls by their outcome, and for how long they held their slots.
-    ended: [u32; 9],
+    calls_by_outcome: [u32; 9],
     /// Answers that told their outcome, but did not come to their end.
-    pub cut_short: u32,
-    busy: [Duration; 9],
+    pub truncated_responses: u32,
+    call_time_by_outcome: [Duration; 9],
     /// Resets of connections that had stood idle, the shortest such span, and the longest that did no harm.
-    stale: u32,
-    stale_from: Option<Duration>,
-    sound_to: Duration,
-    pub dialled: u32,
+    stale_resets: u32,
+    shortest_stale_idle: Option<Duration>,
+    longest_safe_idle: Duration,
+    pub connections_opened: u32,
     /// Longest time that one round took.
     pub longest_round: Micros,
 }
 
 /// What a restart found taken on and untried, its time not over: it is still to be tried.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Untried {
+pub(crate) struct RecoveryStats {
     /// When that was; numbers below are from before.
-    at: Micros,
-    below: u64,
-    found: u32,
+    recovered_at: Micros,
+    first_new_number: u64,
+    untried: u32,
     /// Given up without a call.
-    lost: u32,
+    given_up_untried: u32,
 }
 
-impl Untried {
-    pub fn before(below: u64, at: Micros) -> Untried {
-        Untried { at, below, found: 0, lost: 0 }
+impl RecoveryStats {
+    pub fn new(first_new_number: u64, recovered_at: Micros) -> RecoveryStats {
+        RecoveryStats { recovered_at, first_new_number, untried: 0, given_up_untried: 0 }
     }
 
     /// A message was found whose time lasts until then, after so many attempts.
-    pub fn found(&mut self, expires: Micros, attempts: u32) {
-        self.found += u32::from(expires > self.at && attempts == 0);
+    pub fn record_restored(&mut self, expires: Micros, attempts: u32) {
+        self.untried += u32::from(expires > self.recovered_at && attempts == 0);
     }
 
     /// A message ends undelivered.
-    pub fn ended(&mut self, number: u64, expires: Micros, attempts: u32) {
-        self.lost += u32::from(number < self.below && expires > self.at && attempts == 0);
+    pub fn record_undelivered(&mut self, number: u64, expires: Micros, attempts: u32) {
+        self.given_up_untried +=
+            u32::from(number < self.first_new_number && expires > self.recovered_at && attempts == 0);
     }
 }
 
 /// Where things stand when the line is written.
-pub(crate) struct Standing {
-    pub untried: Untried,
-    pub held: usize,
-    pub waiting: usize,
-    pub calls: usize,
-    pub idle: usize,
-    pub notices: usize,
-    pub lag: Duration,
+pub(crate) struct Gauges {
+    pub recovery: RecoveryStats,
+    pub held_messages: usize,
+    pub pending_sends: usize,
+    pub calls_in_flight: usize,
+    pub idle_connections: usize,
+    pub pending_notices: usize,
+    pub event_loop_lag: Duration,
 }
 
-const NAMES: [&str; 9] = [
+const OUTCOME_NAMES: [&str; 9] = [
     "ok",
     "error",
     "full",
@@ -84,7 +85,7 @@
     "too many connections",
 ];
 
-fn place(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
@@ -98,23 +99,26 @@
     }
 }
 
-impl Tally {
-    pub fn ended(&mut self, outcome: Outcome, took: Duration, idle_for: Option<Duration>) {
-        self.ended[place(outcome)] += 1;
-        self.busy[place(outcome)] += took;
+impl IntervalStats {
+    pub fn record_call(&mut self, outcome: Outcome, took: Duration, idle_for: Option<Duration>) {
+        self.calls_by_outcome[outcome_index(outcome)] += 1;
+        self.call_time_by_outcome[outcome_index(outcome)] += took;
         let Some(span) = idle_for else { return };
         match outcome {
             Outcome::Reset => {
-                self.stale += 1;
-                self.stale_from = Some(self.stale_from.map_or(span, |s| s.min(span)));
+                self.stale_resets += 1;
+                self.shortest_stale_idle =
+                    Some(self.shortest_stale_idle.map_or(span, |shortest| shortest.min(span)));
             }
-            Outcome::Ok => self.sound_to = self.sound_to.max(span),
+            Outcome::Ok => self.longest_safe_idle = self.longest_safe_idle.max(span),
             _ => {}
         }
     }
 
     /// A message that was taken on ends by a notice; a line on it, unless there were many of late.
-    pub fn undelivered(&mut self, id: &str, notice: Notice, attempts: u32, left: i64) -> Option<String> {
+    pub fn record_undelivered(
+        &mut self, id: &str, notice: Notice, attempts: u32, left: i64,
+    ) -> Option<String> {
         let what = match notice {
             Notice::GivenUp => "given up",
             Notice::HandedBack { .. } => "handed back",
@@ -128,39 +132,53 @@
     }
 
     /// The line, and a fresh count; nothing for a span in which nothing happened.
-    pub fn line(&mut self, s: &Standing) -> Option<String> {
-        let t = std::mem::take(self);
-        let idle =
-            t.taken + t.refused + t.turned_away + t.handed_back + t.given_up + t.ended.iter().sum::<u32>()
-                == 0;
-        if idle && s.held == 0 && s.notices == 0 {
+    pub fn take_line(&mut self, gauges: &Gauges) -> Option<String> {
+        let stats = std::mem::take(self);
+        let idle = stats.accepted
+            + stats.refused
+            + stats.refused_late
+            + stats.handed_back
+            + stats.given_up
+            + stats.calls_by_outcome.iter().sum::<u32>()
+            == 0;
+        if idle && gauges.held_messages == 0 && gauges.pending_notices == 0 {
             return None;
         }
         let mut text = format!(
             "taken {} refused {} turned away {} gone {}; handed back {} given up {}; calls",
-            t.taken, t.refused, t.turned_away, t.gone, t.handed_back, t.given_up
+            stats.accepted,
+            stats.refused,
+            stats.refused_late,
+            stats.clients_gone,
+            stats.handed_back,
+            stats.given_up
         );
-        for (i, name) in NAMES.iter().enumerate().filter(|(i, _)| t.ended[*i] > 0) {
-            let _ = write!(text, " {name} {} ({} ms),", t.ended[i], t.busy[i].as_millis());
+        for (i, name) in OUTCOME_NAMES.iter().enumerate().filter(|(i, _)| stats.calls_by_outcome[*i] > 0) {
+            let _ = write!(
+                text,
+                " {name} {} ({} ms),",
+                stats.calls_by_outcome[i],
+                stats.call_time_by_outcome[i].as_millis()
+            );
         }
         let _ = write!(
             text,
             " cut short {}, dialled {}, stale {} (idle for {:?} or more, sound to {:?}); held {} waiting {} calls out {} \
              idle connections {} notices {}; of {} found untried at the start {} given up with no call; longest round {} us, turn of the last second {} us",
-            t.cut_short,
-            t.dialled,
-            t.stale,
-            t.stale_from.unwrap_or_default(),
-            t.sound_to,
-            s.held,
-            s.waiting,
-            s.calls,
-            s.idle,
-            s.notices,
-            s.untried.found,
-            s.untried.lost,
-            t.longest_round,
-            s.lag.as_micros()
+            stats.truncated_responses,
+            stats.connections_opened,
+            stats.stale_resets,
+            stats.shortest_stale_idle.unwrap_or_default(),
+            stats.longest_safe_idle,
+            gauges.held_messages,
+            gauges.pending_sends,
+            gauges.calls_in_flight,
+            gauges.idle_connections,
+            gauges.pending_notices,
+            gauges.recovery.untried,
+            gauges.recovery.given_up_untried,
+            stats.longest_round,
+            gauges.event_loop_lag.as_micros()
         );
         Some(text)
     }
@@ -171,20 +189,24 @@
     use super::*;
 
     #[test]
-    fn a_line_tells_what_happened_since_the_last_and_a_quiet_span_has_none() {
-        let quiet = Standing {
-            untried: Untried::default(),
-            held: 0,
-            waiting: 0,
-            calls: 0,
-            idle: 3,
-            notices: 0,
-            lag: Duration::ZERO,
+    fn a_line_covers_one_interval_and_an_idle_interval_has_none() {
+        let quiet = Gauges {
+            recovery: RecoveryStats::default(),
+            held_messages: 0,
+            pending_sends: 0,
+            calls_in_flight: 0,
+            idle_connections: 3,
+            pending_notices: 0,
+            event_loop_lag: Duration::ZERO,
         };
-        let mut tally = Tally { taken: 2, ..Tally::default() };
-        tally.ended(Outcome::Reset, Duration::from_millis(30), None);
-        tally.ended(Outcome::Reset, Duration::from_millis(5), Some(Duration::from_millis(700)));
-        let line = tally.line(&quiet).expect("something happened");
+        let mut interval_stats = IntervalStats { accepted: 2, ..IntervalStats::default() };
+        interval_stats.record_call(Outcome::Reset, Duration::from_millis(30), None);
+        interval_stats.record_call(
+            Outcome::Reset,
+            Duration::from_millis(5),
+            Some(Duration::from_millis(700)),
+        );
+        let line = interval_stats.take_line(&quiet).expect("something happened");
         assert!(
             line.contains("taken 2")
                 && line.contains("reset 2 (35 ms),")
@@ -192,29 +214,32 @@
                 && !line.contains("ok "),
             "{line}"
         );
-        assert_eq!(tally.line(&quiet), None);
-        let stuck = Standing { held: 1, ..quiet };
-        assert!(tally.line(&stuck).is_some_and(|l| l.contains("held 1")));
+        assert_eq!(interval_stats.take_line(&quiet), None);
+        let stuck = Gauges { held_messages: 1, ..quiet };
+        assert!(interval_stats.take_line(&stuck).is_some_and(|l| l.contains("held 1")));
     }
 
     #[test]
-    fn messages_that_end_undelivered_have_a_line_each_while_they_are_few() {
-        let mut tally = Tally::default();
-        let lines: Vec<_> =
-            (0..50).filter_map(|_| tally.undelivered("m1", Notice::GivenUp, 2, 3_000)).collect();
+    fn undelivered_messages_are_logged_up_to_a_limit_per_interval() {
+        let mut interval_stats = IntervalStats::default();
+        let lines: Vec<_> = (0..50)
+            .filter_map(|_| interval_stats.record_undelivered("m1", Notice::GivenUp, 2, 3_000))
+            .collect();
         assert_eq!(lines.len(), UNDELIVERED_LINES as usize);
         assert_eq!(lines[0], "message m1: given up after 2 attempts, 3000 us before its time");
-        let quiet = Standing {
-            untried: Untried::default(),
-            held: 0,
-            waiting: 0,
-            calls: 0,
-            idle: 0,
-            notices: 0,
-            lag: Duration::ZERO,
+        let quiet = Gauges {
+            recovery: RecoveryStats::default(),
+            held_messages: 0,
+            pending_sends: 0,
+            calls_in_flight: 0,
+            idle_connections: 0,
+            pending_notices: 0,
+            event_loop_lag: Duration::ZERO,
         };
-        let line = tally.line(&quiet);
+        let line = interval_stats.take_line(&quiet);
         assert!(line.is_some_and(|l| l.contains("given up 50")));
-        assert!(tally.undelivered("m2", Notice::HandedBack { retry_in_ms: 0 }, 0, 0).is_some());
+        assert!(interval_stats
+            .record_undelivered("m2", Notice::HandedBack { retry_in_ms: 0 }, 0, 0)
+            .is_some());
     }
 }
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -33,35 +33,35 @@
 use tokio::signal::unix::{signal, SignalKind};
 
 async fn run(config: Config) -> Result<Rest, String> {
-    let (events, receiver) = events::channel();
+    let (node_events, receiver) = events::channel();
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = events.clone();
+    let events = node_events.clone();
     tokio::spawn(async move {
         while terminate.recv().await.is_some() {
-            to_node.send(NodeEvent::Terminate);
+            events.send(NodeEvent::Terminate);
         }
     });
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = events.clone();
+    let events = node_events.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
             match Config::discovery_now() {
-                Ok(address) => to_node.send(NodeEvent::DiscoveryAddress(address)),
+                Ok(address) => events.send(NodeEvent::DiscoveryAddress(address)),
                 Err(error) => eprintln!("foldtrack: discovery stays where it is: {error}"),
             }
         }
     });
     let (listen, state) = (config.listen, config.state.clone());
-    let end = node::run(config, events, receiver).await;
-    end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
+    let result = node::run(config, node_events, receiver).await;
+    result.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
 /// Tasks that the runtime polls at most between two looks at the node and at the sockets and timers. Each of them is some
 /// 0.1 ms of work: with a hundredth of a core the node comes after less than 100 ms, and the look costs a hundredth of that.
-const POLLED_BEFORE_NODE: u32 = 8;
+const TASK_POLLS_PER_EVENT_CHECK: u32 = 8;
 
 /// The successor has ended, and with it the owner of the log: this process starts as after a restart.
-fn start_anew() -> ExitCode {
+fn restart_process() -> ExitCode {
     eprintln!("foldtrack: the new version has ended; starting anew from the log");
     let error = match std::env::current_exe() {
         Ok(program) => Command::new(program).args(std::env::args_os().skip(1)).exec(),
@@ -72,15 +72,15 @@
 }
 
 fn main() -> ExitCode {
-    let end = Config::load().and_then(|config| {
+    let result = Config::load().and_then(|config| {
         // One thread: the forwarder has one core.
         let mut runtime = tokio::runtime::Builder::new_current_thread();
-        let runtime = runtime.enable_all().event_interval(POLLED_BEFORE_NODE).build();
+        let runtime = runtime.enable_all().event_interval(TASK_POLLS_PER_EVENT_CHECK).build();
         runtime.map_err(|e| e.to_string())?.block_on(run(config))
     });
-    match end {
+    match result {
         Ok(Rest::Done) => ExitCode::SUCCESS,
-        Ok(Rest::Orphaned) => start_anew(),
+        Ok(Rest::Orphaned) => restart_process(),
         Err(error) => {
             eprintln!("foldtrack: {error}");
             ExitCode::FAILURE
--- a/src/bin/foldtrack/metrics.rs
+++ b/src/bin/foldtrack/metrics.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Class {
+struct ClassCounters {
     name: String,
     ok: u64,
     shed: u64,
@@ -26,17 +26,22 @@
 
 /// The counts, by class of message.
 #[derive(Debug)]
-pub(crate) struct Metrics(Vec<Class>);
+pub(crate) struct Metrics(Vec<ClassCounters>);
 
 impl Metrics {
     pub fn new(class_names: &[String]) -> Metrics {
-        Metrics(class_names.iter().map(|n| Class { name: n.clone(), ..Class::default() }).collect())
+        Metrics(
+            class_names
+                .iter()
+                .map(|n| ClassCounters { name: n.clone(), ..ClassCounters::default() })
+                .collect(),
+        )
     }
 
     /// A message is over. One of a class that the settings no longer name is in no line of the text.
-    pub fn record_result(&mut self, class: usize, how: MessageResult) {
+    pub fn record_result(&mut self, class: usize, result: MessageResult) {
         let Some(class) = self.0.get_mut(class) else { return };
-        match how {
+        match result {
             MessageResult::Ok => class.ok += 1,
             MessageResult::Shed => class.shed += 1,
             MessageResult::Error => class.errors += 1,
@@ -53,9 +58,9 @@
     /// The figures, a line each; `active` messages are taken and not yet ended.
     pub fn render(&self, active: usize, pool: Pool) -> String {
         let mut text = String::new();
-        for Class { name, ok, shed, errors, tries } in &self.0 {
-            for (what, count) in [("ok", ok), ("shed", shed), ("errors", errors), ("tries", tries)] {
-                let _ = writeln!(text, "responses.{name}.{what}={count}");
+        for ClassCounters { name, ok, shed, errors, tries } in &self.0 {
+            for (counter, count) in [("ok", ok), ("shed", shed), ("errors", errors), ("tries", tries)] {
+                let _ = writeln!(text, "responses.{name}.{counter}={count}");
             }
         }
         let Pool { listed, avoided } = pool;
@@ -69,14 +74,14 @@
     use super::*;
 
     #[test]
-    fn each_class_has_its_four_counts_and_unknown_classes_have_none() {
-        let mut figures = Metrics::new(&["a".to_string(), "b".to_string()]);
-        figures.record_result(0, MessageResult::Ok);
-        figures.record_result(1, MessageResult::Shed);
-        figures.record_result(1, MessageResult::Error);
-        figures.record_result(7, MessageResult::Ok);
-        (0..3).for_each(|_| figures.record_attempt(1));
-        let text = figures.render(5, Pool { listed: 9, avoided: 2 });
+    fn every_class_has_four_counters_and_unknown_classes_have_none() {
+        let mut metrics = Metrics::new(&["a".to_string(), "b".to_string()]);
+        metrics.record_result(0, MessageResult::Ok);
+        metrics.record_result(1, MessageResult::Shed);
+        metrics.record_result(1, MessageResult::Error);
+        metrics.record_result(7, MessageResult::Ok);
+        (0..3).for_each(|_| metrics.record_attempt(1));
+        let text = metrics.render(5, Pool { listed: 9, avoided: 2 });
         let expected = "responses.a.ok=1\nresponses.a.shed=0\nresponses.a.errors=0\nresponses.a.tries=0\n\
              responses.b.ok=0\nresponses.b.shed=1\nresponses.b.errors=1\nresponses.b.tries=3\n\
              active=5\npool_size=9\npool_ejected=2\n";
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -2,8 +2,8 @@
 //! comes in as [`NodeEvent`]s; what the module decides goes out, in its order.
 
 use crate::admin_server;
-use crate::admission::Turnstile;
-use crate::client_server::{self, Desk};
+use crate::admission::AdmissionLimiter;
+use crate::client_server::{self, ServerContext};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::connection_limit::ConnectionLimit;
@@ -12,7 +12,7 @@
     AdminRequest, AdminResponse, CallEnd, EventSender, LifecycleStage, NodeEvent, ResponseGuard,
     SubmitResponse,
 };
-use crate::interval_stats::{Standing, Tally, Untried};
+use crate::interval_stats::{Gauges, IntervalStats, RecoveryStats};
 use crate::journal::{Fate, Journal, Notice, Record, Restored};
 use crate::last_list::{self, LastList};
 use crate::message::{order_key, Message};
@@ -46,20 +46,20 @@
 mod succession;
 
 /// Inputs that one round takes in at most.
-const ROUND: usize = 1024;
+const MAX_EVENTS_PER_ROUND: usize = 1024;
 /// After SIGTERM: how long connections are still accepted, and by when the process has ended.
 const ACCEPT_AFTER_TERMINATE: Duration = Duration::from_millis(500);
 const TERMINATE_TIMEOUT: Duration = Duration::from_millis(3300);
 /// Notices in one report.
-const NOTICES: usize = 64;
+const MAX_NOTICES_PER_REPORT: usize = 64;
 /// A send that has waited for longer than this is decided anew.
-const STALE_SEND: Micros = 50_000;
+const MAX_PENDING_SEND_AGE: Micros = 50_000;
 /// The runtime's timers come up to 2 ms late, by their own step and that of the wait below them; the rest is for the end
 /// to be written. What is handed back once its time is over, by whatever little, is no answer.
-const TIMER_STEP: Duration = Duration::from_millis(3);
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(3);
 /// How long the start waits for the list.
-const FIRST_LIST: Duration = Duration::from_millis(250);
-const SWEEP: Duration = Duration::from_secs(1);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How far the client has been told that its message is taken on.
 enum Acceptance {
@@ -88,7 +88,7 @@
 }
 
 /// A message that ends by a notice; it is over once that is answered.
-struct Ending {
+struct PendingNotice {
     id: String,
     order_key: u64,
     notice: Notice,
@@ -121,17 +121,17 @@
     /// What is taken on, or may be, by number in the order of arrival.
     messages: BTreeMap<u64, HeldMessage>,
     /// Those of this round whose clients wait for an answer.
-    fresh: Vec<u64>,
+    undecided: Vec<u64>,
     /// Ends that the platform has not taken yet, and which of them are to be sent now.
-    notices: BTreeMap<u64, Ending>,
-    unsent: BTreeSet<u64>,
-    reports: ReportClient,
+    pending_notices: BTreeMap<u64, PendingNotice>,
+    unsent_notices: BTreeSet<u64>,
+    report_client: ReportClient,
     /// By message and attempt.
     calls: BTreeMap<(u64, u32), InFlightCall>,
-    idle: IdleConnections,
-    swept: Instant,
-    tally: Tally,
-    untried: Untried,
+    idle_connections: IdleConnections,
+    last_maintenance: Instant,
+    interval_stats: IntervalStats,
+    recovery_stats: RecoveryStats,
     metrics: Metrics,
     taken_out: TakenOut,
     last_list: LastList,
@@ -159,9 +159,9 @@
     if let Some(address) = config.admin {
         tokio::spawn(admin_server::serve(address, events.clone()));
     }
-    let (format, meeting) = (upgrade::format_of(&config.settings), upgrade::meeting_point(&config.state));
+    let (format, socket_path) = (upgrade::format_of(&config.settings), upgrade::meeting_point(&config.state));
     let (mut node, listener) = loop {
-        match upgrade::begin(&config.state, &meeting, &format).await? {
+        match upgrade::begin(&config.state, &socket_path, &format).await? {
             Start::Alone(lock) => break (Node::restored(&config, &events, lock)?, None),
             Start::Successor(offer) => match Node::succeeding(&config, &events, *offer) {
                 Ok((node, listener)) => break (node, Some(listener)),
@@ -170,7 +170,7 @@
         }
     };
     let discovery_client = discovery_client::client(&node.settings.settings, events.clone());
-    let watching =
+    let discovery_task =
         tokio::spawn(discovery_client.run(node.discovery.subscribe(), config.known.known_version()));
     let mut batch = Vec::new();
     let listener = match listener {
@@ -178,7 +178,7 @@
         None => {
             // What the configuration knows may be old: a target that this forwarder was told of as drained, before
             // it restarted, would get what it held. The agent answers at once, or discovery is down.
-            if let Ok(Some(first)) = timeout(FIRST_LIST, receiver.recv()).await {
+            if let Ok(Some(first)) = timeout(FIRST_LIST_TIMEOUT, receiver.recv()).await {
                 batch.push(first);
             }
             TcpListener::bind(config.listen).await?
@@ -186,34 +186,35 @@
     };
     node.listener = Some(listener.as_fd().try_clone_to_owned()?);
     let (settings, clock, stage) = (node.settings.clone(), node.clock, node.stage.subscribe());
-    let (strain, stile) = (node.overload.clone(), Turnstile::new(client_server::READ_IN_A_TURN));
-    let desk = Desk { settings, clock, events: events.clone(), stage, strain, stile };
-    let accepting =
-        tokio::spawn(client_server::serve(listener, Arc::new(desk), node.connection_limit.clone()));
+    let (overload, read_limiter) =
+        (node.overload.clone(), AdmissionLimiter::new(client_server::READS_PER_TURN));
+    let context = ServerContext { settings, clock, events: events.clone(), stage, overload, read_limiter };
+    let accept_task =
+        tokio::spawn(client_server::serve(listener, Arc::new(context), node.connection_limit.clone()));
     node.accepting = true;
-    let meeting = upgrade::await_successor(&meeting, format, events);
-    if let Err(error) = &meeting {
+    let successor_listener = upgrade::await_successor(&socket_path, format, events);
+    if let Err(error) = &successor_listener {
         eprintln!("upgrade: no successor can take over while this process runs: {error}");
     }
-    while !node.has_ended(accepting.is_finished()) {
-        node.round(&mut batch);
+    while !node.may_exit(accept_task.is_finished()) {
+        node.run_round(&mut batch);
         if let Some(successor) = node.successor.take() {
             match node.hand_over(&successor) {
                 Ok(()) => {
                     eprintln!("upgrade: a new version has taken over");
-                    watching.abort();
-                    meeting.iter().for_each(JoinHandle::abort);
+                    discovery_task.abort();
+                    successor_listener.iter().for_each(JoinHandle::abort);
                     return node.into_remainder().serve(successor, receiver).await;
                 }
                 Err(error) => eprintln!("upgrade: nothing was handed over: {error}"),
             }
         }
-        let wake = node.wake_at();
+        let wake = node.next_wake();
         tokio::select! {
             biased;
             // First, since this writes what the round has decided.
-            numbers = node.reports.taken() => batch.push(NodeEvent::NoticesAcknowledged { numbers }),
-            _ = receiver.recv_many(&mut batch, ROUND) => {}
+            numbers = node.report_client.taken() => batch.push(NodeEvent::NoticesAcknowledged { numbers }),
+            _ = receiver.recv_many(&mut batch, MAX_EVENTS_PER_ROUND) => {}
             () = sleep_until(wake) => {}
         }
         node.overload.record_delay(wake.elapsed());
@@ -236,18 +237,18 @@
             settings: config.settings.clone(),
             journal,
             events: events.clone(),
-            reports: ReportClient::new(discovery.subscribe()),
+            report_client: ReportClient::new(discovery.subscribe()),
             discovery,
             next_number: restored.last_key_value().map_or(1, |(number, _)| number + 1),
             messages: BTreeMap::new(),
-            fresh: Vec::new(),
-            notices: BTreeMap::new(),
-            unsent: BTreeSet::new(),
+            undecided: Vec::new(),
+            pending_notices: BTreeMap::new(),
+            unsent_notices: BTreeSet::new(),
             calls: BTreeMap::new(),
-            idle: IdleConnections::new(conn_idle, config.sockets / 4),
-            swept: Instant::now(),
-            tally: Tally::default(),
-            untried: Untried::default(),
+            idle_connections: IdleConnections::new(conn_idle, config.sockets / 4),
+            last_maintenance: Instant::now(),
+            interval_stats: IntervalStats::default(),
+            recovery_stats: RecoveryStats::default(),
             metrics: Metrics::new(&config.settings.class_names),
             taken_out: TakenOut::open(&config.state)?,
             last_list: LastList::open(&config.state, &config.known),
@@ -273,8 +274,8 @@
         let policy = DeliveryPolicy::new(clock.now(), config.seed, config.settings.settings.clone());
         let (mut node, restored) = Node::new(config, events, clock, policy)?;
         node.lock = Some(lock);
-        node.list(config.known.clone(), ListKind::Cached);
-        node.untried = Untried::before(node.next_number, clock.now());
+        node.update_endpoints(config.known.clone(), ListKind::Cached);
+        node.recovery_stats = RecoveryStats::new(node.next_number, clock.now());
         for (number, message) in restored {
             node.restore(number, message);
         }
@@ -284,15 +285,15 @@
 
 impl Node {
     /// Takes in all that has happened, lets the module decide once, and carries out what it says.
-    fn round(&mut self, batch: &mut Vec<NodeEvent>) {
-        let begun = self.clock.now();
+    fn run_round(&mut self, batch: &mut Vec<NodeEvent>) {
+        let round_started = self.clock.now();
         self.notify_policy(Event::Late {
-            by: (self.overload.event_loop_lag() + TIMER_STEP).as_micros() as Micros,
+            by: (self.overload.event_loop_lag() + MAX_TIMER_DELAY).as_micros() as Micros,
         });
-        for input in batch.drain(..) {
-            self.take_in(input);
+        for event in batch.drain(..) {
+            self.handle_event(event);
         }
-        self.expire_waiting();
+        self.expire_pending_sends();
         let now = self.clock.now();
         while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
@@ -300,26 +301,26 @@
         }
         self.policy.decide(self.clock.now(), &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.answer_clients();
-        self.report_notices();
-        self.step_down();
+        self.respond_to_clients();
+        self.send_notices();
+        self.advance_shutdown();
         self.overload.measure_turn();
-        let took = self.clock.now() - begun;
+        let took = self.clock.now() - round_started;
         self.overload.record_delay(Duration::from_micros(took));
-        self.tally.longest_round = self.tally.longest_round.max(took);
-        if self.swept.elapsed() > SWEEP {
-            self.swept = Instant::now();
-            self.idle.sweep();
-            let line = self.tally.line(&Standing {
-                untried: self.untried,
-                held: self.messages.len(),
-                waiting: self.messages.values().filter(|h| h.pending_send.is_some()).count(),
-                calls: self.calls.len(),
-                idle: self.idle.count(),
-                notices: self.notices.len(),
-                lag: self.overload.event_loop_lag(),
+        self.interval_stats.longest_round = self.interval_stats.longest_round.max(took);
+        if self.last_maintenance.elapsed() > MAINTENANCE_INTERVAL {
+            self.last_maintenance = Instant::now();
+            self.idle_connections.sweep();
+            let line = self.interval_stats.take_line(&Gauges {
+                recovery: self.recovery_stats,
+                held_messages: self.messages.len(),
+                pending_sends: self.messages.values().filter(|held| held.pending_send.is_some()).count(),
+                calls_in_flight: self.calls.len(),
+                idle_connections: self.idle_connections.count(),
+                pending_notices: self.pending_notices.len(),
+                event_loop_lag: self.overload.event_loop_lag(),
             });
             line.into_iter().for_each(|line| eprintln!("{line}"));
         }
@@ -329,30 +330,30 @@
         self.policy.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn take_in(&mut self, input: NodeEvent) {
-        match input {
-            NodeEvent::Submit { message, reply } => self.hand_in(message, reply),
-            NodeEvent::ResponseEnded { number, written } => self.answered(number, written),
+    fn handle_event(&mut self, event: NodeEvent) {
+        match event {
+            NodeEvent::Submit { message, reply } => self.submit(message, reply),
+            NodeEvent::ResponseEnded { number, written } => self.response_ended(number, written),
             NodeEvent::RefusedLate { class } => {
-                self.tally.turned_away += 1;
+                self.interval_stats.refused_late += 1;
                 self.metrics.record_result(class, MessageResult::Shed);
             }
             NodeEvent::CallEnded(end) => self.call_ended(end),
             NodeEvent::List(list) => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
                 self.last_list.note(&list, |more| self.journal.give_up_room(more));
-                self.list(list, kind);
+                self.update_endpoints(list, kind);
             }
-            NodeEvent::NoticesAcknowledged { numbers } => self.reported(numbers),
+            NodeEvent::NoticesAcknowledged { numbers } => self.notices_acknowledged(numbers),
             NodeEvent::Connected { number, attempt, target, proceed } => {
                 let may_go = self.policy.may_go(self.clock.now(), number, target);
-                let _ = proceed.send(may_go && self.begin(number, attempt));
+                let _ = proceed.send(may_go && self.log_attempt_start(number, attempt));
             }
             NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
             // One that nobody awaits any more has been answered no.
             NodeEvent::Admin { reply, .. } if reply.is_closed() => {}
             NodeEvent::Admin { request, reply } => {
-                let _ = reply.send(self.admin(request));
+                let _ = reply.send(self.handle_admin_request(request));
             }
             NodeEvent::DiscoveryAddress(address) => {
                 eprintln!("discovery is at {address} from now on");
@@ -370,42 +371,42 @@
         }
     }
 
-    fn list(&mut self, list: ServerList, kind: ListKind) {
-        let place = |names: &[String], name: &str| {
+    fn update_endpoints(&mut self, list: ServerList, kind: ListKind) {
+        let index_of = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u32::MAX, |at| at as u32)
         };
         let mut endpoints = Vec::with_capacity(list.servers.len());
-        for line in list.servers {
-            let zone = self.settings.zone(&line.zone);
-            let known = self.target_ids.get(&line.id).copied();
+        for entry in list.servers {
+            let zone = self.settings.zone(&entry.zone);
+            let known = self.target_ids.get(&entry.id).copied();
             let target = known.unwrap_or(self.endpoints.len() as TargetId);
             if let Some(server) = self.endpoints.get_mut(target as usize) {
-                (server.address, server.zone) = (line.addr, zone);
+                (server.address, server.zone) = (entry.addr, zone);
             } else {
-                self.endpoints.push(KnownEndpoint { address: line.addr, zone, generation: 0 });
-                if self.taken_out.contains(&line.id) {
+                self.endpoints.push(KnownEndpoint { address: entry.addr, zone, generation: 0 });
+                if self.taken_out.contains(&entry.id) {
                     self.notify_policy(Event::ByHand { target, out: true });
                 }
-                self.target_ids.insert(line.id, target);
+                self.target_ids.insert(entry.id, target);
             }
             endpoints.push(Endpoint {
                 target,
-                destination: line.cell,
-                kind: place(&self.settings.kind_names, &line.kind),
+                destination: entry.cell,
+                kind: index_of(&self.settings.kind_names, &entry.kind),
                 zone,
-                state: match line.state {
+                state: match entry.state {
                     ServerState::Active => EndpointState::Ready,
                     ServerState::Leaving => EndpointState::Draining,
                     ServerState::Left => EndpointState::Gone,
                 },
-                rate: line.weight,
+                rate: entry.weight,
             });
         }
         let version = u32::try_from(list.version).unwrap_or(u32::MAX);
         self.notify_policy(Event::List { kind, version, endpoints });
     }
 
-    fn admin(&mut self, request: AdminRequest) -> AdminResponse {
+    fn handle_admin_request(&mut self, request: AdminRequest) -> AdminResponse {
         let serving = self.accepting && *self.stage.borrow() == LifecycleStage::Serving;
         match request {
             AdminRequest::Ready if serving => AdminResponse::new(StatusCode::OK, "ready\n"),
@@ -416,27 +417,27 @@
                 StatusCode::OK,
                 self.metrics.render(self.messages.len(), self.policy.pool()),
             ),
-            AdminRequest::Disable(name) => self.by_hand(&name, true),
-            AdminRequest::Enable(name) => self.by_hand(&name, false),
+            AdminRequest::Disable(name) => self.set_disabled(&name, true),
+            AdminRequest::Enable(name) => self.set_disabled(&name, false),
         }
     }
 
     /// Takes an endpoint out, or puts it back; the yes means that this outlasts the process.
-    fn by_hand(&mut self, name: &str, out: bool) -> AdminResponse {
+    fn set_disabled(&mut self, name: &str, disabled: bool) -> AdminResponse {
         let target = self.target_ids.get(name).copied();
-        let was_out = self.taken_out.contains(name);
-        if !was_out && !target.is_some_and(|target| self.policy.lists(target)) {
+        let was_disabled = self.taken_out.contains(name);
+        if !was_disabled && !target.is_some_and(|target| self.policy.lists(target)) {
             return AdminResponse::new(StatusCode::NOT_FOUND, "no such endpoint\n");
         }
-        if let Err(error) = self.taken_out.note(name, out) {
+        if let Err(error) = self.taken_out.note(name, disabled) {
             eprintln!("admin: {name} stays as it is: {error}");
             return AdminResponse::new(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n"));
         }
-        let state = if out { "out" } else { "in" };
-        if let Some(target) = target.filter(|_| was_out != out) {
+        let state = if disabled { "out" } else { "in" };
+        if let Some(target) = target.filter(|_| was_disabled != disabled) {
             eprintln!("admin: endpoint {name} is {state}");
             self.endpoints[target as usize].generation += 1;
-            self.notify_policy(Event::ByHand { target, out });
+            self.notify_policy(Event::ByHand { target, out: disabled });
         }
         AdminResponse::new(StatusCode::OK, format!("{name} is {state}\n"))
     }
@@ -446,8 +447,8 @@
         let Restored { accepted, attempts, notice } = restored;
         if let Some(notice) = notice {
             let order_key = order_key(&accepted.key);
-            self.notices.insert(number, Ending { id: accepted.id, order_key, notice });
-            self.unsent.insert(number);
+            self.pending_notices.insert(number, PendingNotice { id: accepted.id, order_key, notice });
+            self.unsent_notices.insert(number);
             return;
         }
         let message = Message::of(accepted, &self.settings, &self.clock);
@@ -459,19 +460,19 @@
             attempts: attempts.len() as u32,
             pending_send: None,
         };
-        self.untried.found(expires, held.attempts);
+        self.recovery_stats.record_restored(expires, held.attempts);
         self.messages.insert(number, held);
         if class >= self.settings.class_names.len() {
             // The settings have changed since: nothing can be promised.
-            return self.end(number, Notice::GivenUp);
+            return self.end_undelivered(number, Notice::GivenUp);
         }
-        let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
-        let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
+        let first = attempts.iter().find(|attempt| attempt.fate != Some(Fate::NeverRan));
+        let first_run = first.map(|attempt| (self.clock.since_unix(attempt.at), attempt.zone));
         let outcome = |fate| match fate {
             Some(Fate::NeverRan) => Outcome::NotSent,
             Some(Fate::MayHaveRun) | None => Outcome::Reset,
         };
-        let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
+        let attempts = attempts.iter().map(|attempt| outcome(attempt.fate)).collect();
         let class = class as u32;
         self.notify_policy(Event::Restored {
             id: number,
@@ -484,10 +485,10 @@
         });
     }
 
-    fn hand_in(&mut self, message: Arc<Message>, reply: oneshot::Sender<SubmitResponse>) {
+    fn submit(&mut self, message: Arc<Message>, reply: oneshot::Sender<SubmitResponse>) {
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
         if full || !self.journal.has_room(message.size()) {
-            self.tally.refused += 1;
+            self.interval_stats.refused += 1;
             self.metrics.record_result(message.class, MessageResult::Shed);
             let retry_in_ms = self.policy.advice(message.destination).div_ceil(1000);
             let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
@@ -511,13 +512,13 @@
                 pending_send: None,
             },
         );
-        self.fresh.push(id);
+        self.undecided.push(id);
         self.notify_policy(event);
     }
 
     /// Takes on what the module has not refused: first the journal, then the answer.
-    fn answer_clients(&mut self) {
-        for number in std::mem::take(&mut self.fresh) {
+    fn respond_to_clients(&mut self) {
+        for number in std::mem::take(&mut self.undecided) {
             let Some(held) = self.messages.get_mut(&number) else { continue };
             let Acceptance::Undecided(reply) =
                 std::mem::replace(&mut held.acceptance, Acceptance::Responding)
@@ -528,7 +529,7 @@
             if let Err(error) = self.journal.append(number, &accepted) {
                 eprintln!("journal: a message is refused: {error}");
                 let _ = reply.send(SubmitResponse::Refused { retry_in_ms: 0 });
-                self.withdraw(number);
+                self.discard_unaccepted(number);
                 continue;
             }
             let receipt = ResponseGuard::new(number, self.events.clone());
@@ -538,55 +539,55 @@
     }
 
     /// The client has its answer, and the message may go; or it has gone before, and nothing is taken on.
-    fn answered(&mut self, number: u64, written: bool) {
+    fn response_ended(&mut self, number: u64, written: bool) {
         if !written {
-            self.tally.gone += 1;
-            self.record(number, &Record::Over);
-            self.notices.remove(&number);
-            self.unsent.remove(&number);
-            return self.withdraw(number);
+            self.interval_stats.clients_gone += 1;
+            self.append_record(number, &Record::Over);
+            self.pending_notices.remove(&number);
+            self.unsent_notices.remove(&number);
+            return self.discard_unaccepted(number);
         }
         let Some(held) = self.messages.get_mut(&number) else { return };
         held.acceptance = Acceptance::Accepted;
-        self.tally.taken += 1;
-        self.send(number);
+        self.interval_stats.accepted += 1;
+        self.start_pending_send(number);
     }
 
     /// Forgets a message that was not taken on after all.
-    fn withdraw(&mut self, number: u64) {
+    fn discard_unaccepted(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         self.metrics.record_result(held.message.class, MessageResult::Shed);
         if let Some(PendingSend { attempt, target, .. }) = held.pending_send {
-            self.outcome(number, attempt, target, Outcome::NotSent, true);
+            self.notify_outcome(number, attempt, target, Outcome::NotSent, true);
         }
         self.notify_policy(Event::Lapsed { id: number });
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, target, until } => {
                 let Some(held) = self.messages.get_mut(&id) else { return };
                 let (attempt, decided_at) = (held.attempts, self.clock.now());
                 held.pending_send = Some(PendingSend { attempt, target, until, decided_at });
                 held.attempts += 1;
-                self.send(id);
+                self.start_pending_send(id);
             }
             Action::Cancel { id, attempt } => {
-                if let Some(out) = self.calls.get_mut(&(id, attempt)) {
+                if let Some(call) = self.calls.get_mut(&(id, attempt)) {
                     // A call that has just ended tells its own end.
-                    let _ = out.cancel.take().map(|cancel| cancel.send(()));
+                    let _ = call.cancel.take().map(|cancel| cancel.send(()));
                 } else if let Some(PendingSend { target, .. }) =
-                    self.messages.get_mut(&id).and_then(|h| h.pending_send.take())
+                    self.messages.get_mut(&id).and_then(|held| held.pending_send.take())
                 {
-                    self.outcome(id, attempt, target, Outcome::NotSent, false);
+                    self.notify_outcome(id, attempt, target, Outcome::NotSent, false);
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.end(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
+                self.end_undelivered(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
             }
-            Action::Fail { id } => self.end(id, Notice::GivenUp),
+            Action::Fail { id } => self.end_undelivered(id, Notice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
-            Action::CloseIdle { target } => self.idle.close(target),
+            Action::CloseIdle { target } => self.idle_connections.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is watched all the time; probes and talk are not for this kind of deployment.
             Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
@@ -595,66 +596,67 @@
 
     /// Starts the call that the module has decided on, unless it has to wait: for the client to be told that the
     /// message is taken on, or for the notice that ends an earlier message of its key, which is over only then.
-    fn send(&mut self, number: u64) {
+    fn start_pending_send(&mut self, number: u64) {
         let Some(held) =
-            self.messages.get_mut(&number).filter(|h| matches!(h.acceptance, Acceptance::Accepted))
+            self.messages.get_mut(&number).filter(|held| matches!(held.acceptance, Acceptance::Accepted))
         else {
             return;
         };
         let key = held.message.order_key();
-        if key != 0 && self.notices.values().any(|ending| ending.order_key == key) {
+        if key != 0 && self.pending_notices.values().any(|pending| pending.order_key == key) {
             return;
         }
         let Some(PendingSend { attempt, target, until, decided_at }) = held.pending_send.take() else {
             return;
         };
         // What was decided long ago may go against a drain or a wait told since: the module decides anew.
-        if self.clock.now() > decided_at + STALE_SEND {
-            return self.outcome(number, attempt, target, Outcome::NotSent, false);
+        if self.clock.now() > decided_at + MAX_PENDING_SEND_AGE {
+            return self.notify_outcome(number, attempt, target, Outcome::NotSent, false);
         }
-        self.start(number, attempt, target, until);
+        self.start_call(number, attempt, target, until);
     }
 
     /// Guards against a notice that the platform is slow to take: a send that waits for it past its time would
     /// have no outcome, and its message no end.
-    fn expire_waiting(&mut self) {
-        if self.notices.is_empty() {
+    fn expire_pending_sends(&mut self) {
+        if self.pending_notices.is_empty() {
             return;
         }
         let now = self.clock.now();
-        let late = |held: &mut HeldMessage| held.pending_send.take_if(|w| w.until <= now);
-        let all = self.messages.iter_mut();
-        let expired: Vec<_> = all.filter_map(|(number, held)| Some((*number, late(held)?))).collect();
+        let take_expired = |held: &mut HeldMessage| held.pending_send.take_if(|send| send.until <= now);
+        let held_messages = self.messages.iter_mut();
+        let expired: Vec<_> =
+            held_messages.filter_map(|(number, held)| Some((*number, take_expired(held)?))).collect();
         for (number, PendingSend { attempt, target, .. }) in expired {
-            self.outcome(number, attempt, target, Outcome::NotSent, false);
+            self.notify_outcome(number, attempt, target, Outcome::NotSent, false);
         }
     }
 
     /// Notes in the journal, before its first byte goes out, that a call may run from now on.
-    fn begin(&mut self, number: u64, attempt: u32) -> bool {
-        let Some(out) = self.calls.get_mut(&(number, attempt)) else { return false };
-        let zone = self.endpoints[out.target as usize].zone;
-        let begun = Record::Begun { at: self.clock.unix(self.clock.now()), zone };
-        match self.journal.append(number, &begun) {
-            Ok(()) => out.started = true,
+    fn log_attempt_start(&mut self, number: u64, attempt: u32) -> bool {
+        let Some(call) = self.calls.get_mut(&(number, attempt)) else { return false };
+        let zone = self.endpoints[call.target as usize].zone;
+        let attempt_start = Record::Begun { at: self.clock.unix(self.clock.now()), zone };
+        match self.journal.append(number, &attempt_start) {
+            Ok(()) => call.started = true,
             Err(error) => eprintln!("journal: a call is not made: {error}"),
         }
-        out.started
+        call.started
     }
 
     /// Starts a call. Where its connection has to come up yet, it begins only then.
-    fn start(&mut self, number: u64, attempt: u32, target: TargetId, until: Micros) {
+    fn start_call(&mut self, number: u64, attempt: u32, target: TargetId, until: Micros) {
         let Some(held) = self.messages.get(&number) else { return };
         let message = held.message.clone();
         let KnownEndpoint { address, generation, .. } = self.endpoints[target as usize];
         let (cancel, cancelled) = oneshot::channel();
         self.calls.insert((number, attempt), InFlightCall { target, cancel: Some(cancel), started: false });
-        let connection = self.idle.take(target);
-        if connection.is_some() && !self.begin(number, attempt) {
+        let connection = self.idle_connections.take(target);
+        if connection.is_some() && !self.log_attempt_start(number, attempt) {
             self.calls.remove(&(number, attempt));
-            return self.outcome(number, attempt, target, Outcome::NotSent, false);
+            return self.notify_outcome(number, attempt, target, Outcome::NotSent, false);
         }
-        self.tally.dialled += u32::from(connection.is_none());
+        self.interval_stats.connections_opened += u32::from(connection.is_none());
         let call = Call {
             number,
             attempt,
@@ -670,7 +672,7 @@
         tokio::spawn(targets::call(call, cancelled, self.events.clone()));
     }
 
-    fn outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
+    fn notify_outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
         self.notify_policy(Event::Outcome {
             id,
             attempt,
@@ -684,12 +686,12 @@
     }
 
     fn call_ended(&mut self, end: CallEnd) {
-        let begun = self.calls.remove(&(end.number, end.attempt)).is_some_and(|out| out.started);
-        self.tally.ended(end.outcome, end.started_at.elapsed(), end.idle_for);
-        self.tally.cut_short += u32::from(end.response_truncated);
-        let same_era = self.endpoints[end.target as usize].generation == end.generation;
-        if let Some(connection) = end.connection.filter(|_| same_era) {
-            self.idle.put(end.target, connection);
+        let started = self.calls.remove(&(end.number, end.attempt)).is_some_and(|call| call.started);
+        self.interval_stats.record_call(end.outcome, end.started_at.elapsed(), end.idle_for);
+        self.interval_stats.truncated_responses += u32::from(end.response_truncated);
+        let same_generation = self.endpoints[end.target as usize].generation == end.generation;
+        if let Some(connection) = end.connection.filter(|_| same_generation) {
+            self.idle_connections.put(end.target, connection);
         }
         let held = self.messages.contains_key(&end.number);
         if end.completes_message {
@@ -699,11 +701,11 @@
                     held.message.class,
                     if delivered { MessageResult::Ok } else { MessageResult::Error },
                 );
-                self.record(end.number, &Record::Over);
+                self.append_record(end.number, &Record::Over);
             }
-        } else if held && begun {
+        } else if held && started {
             let fate = if end.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.record(end.number, &Record::Ended(fate));
+            self.append_record(end.number, &Record::Ended(fate));
         }
         let now = self.clock.now();
         self.notify_policy(Event::Outcome {
@@ -720,43 +722,45 @@
     }
 
     /// Writes what a restart can do without: lacking it, more counts as perhaps run than has.
-    fn record(&mut self, number: u64, record: &Record) {
+    fn append_record(&mut self, number: u64, record: &Record) {
         if let Err(error) = self.journal.append(number, record) {
             eprintln!("journal: {error}");
         }
     }
 
     /// Ends a message: in the answer to its client, if that still waits for one, else by a notice.
-    fn end(&mut self, number: u64, notice: Notice) {
+    fn end_undelivered(&mut self, number: u64, notice: Notice) {
         let Some(held) = self.messages.remove(&number) else { return };
         let class = held.message.class;
         if let Acceptance::Undecided(reply) = held.acceptance {
             self.metrics.record_result(class, MessageResult::Shed);
             let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
-            self.tally.refused += 1;
+            self.interval_stats.refused += 1;
             let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
             return;
         }
         let ended =
             if matches!(notice, Notice::GivenUp) { MessageResult::Error } else { MessageResult::Shed };
         self.metrics.record_result(class, ended);
-        self.untried.ended(number, held.message.expires, held.attempts);
+        self.recovery_stats.record_undelivered(number, held.message.expires, held.attempts);
         let left = held.message.expires as i64 - self.clock.now() as i64;
-        let line = self.tally.undelivered(&held.message.id, notice, held.attempts, left);
+        let line = self.interval_stats.record_undelivered(&held.message.id, notice, held.attempts, left);
         line.into_iter().for_each(|line| eprintln!("{line}"));
-        self.record(number, &Record::Noticed(notice));
-        let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
-        self.notices.insert(number, ending);
-        self.unsent.insert(number);
+        self.append_record(number, &Record::Noticed(notice));
+        let pending =
+            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+        self.pending_notices.insert(number, pending);
+        self.unsent_notices.insert(number);
     }
 
-    fn report_notices(&mut self) {
-        while !self.unsent.is_empty() && self.reports.has_room() {
-            let numbers: Vec<u64> = self.unsent.iter().copied().take(NOTICES).collect();
+    fn send_notices(&mut self) {
+        while !self.unsent_notices.is_empty() && self.report_client.has_room() {
+            let numbers: Vec<u64> =
+                self.unsent_notices.iter().copied().take(MAX_NOTICES_PER_REPORT).collect();
             let mut lines = String::new();
             for number in &numbers {
-                self.unsent.remove(number);
-                let Ending { id, notice, .. } = &self.notices[number];
+                self.unsent_notices.remove(number);
+                let PendingNotice { id, notice, .. } = &self.pending_notices[number];
                 let line = match notice {
                     Notice::GivenUp => json!({"message": id, "outcome": "given_up"}),
                     Notice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
@@ -766,23 +770,25 @@
                 };
                 lines.push_str(&format!("{line}\n"));
             }
-            self.reports.send(lines, numbers);
+            self.report_client.send(lines, numbers);
         }
     }
 
     /// The platform has taken these notices: their messages are over.
-    fn reported(&mut self, numbers: Vec<u64>) {
+    fn notices_acknowledged(&mut self, numbers: Vec<u64>) {
         for number in numbers {
-            self.record(number, &Record::Over);
-            let key = self.notices.remove(&number).map_or(0, |ended| ended.order_key);
-            let next = |h: &HeldMessage| key != 0 && h.pending_send.is_some() && h.message.order_key() == key;
-            let waiting = self.messages.iter().find(|(_, h)| next(h)).map(|(number, _)| *number);
-            waiting.into_iter().for_each(|next| self.send(next));
+            self.append_record(number, &Record::Over);
+            let key = self.pending_notices.remove(&number).map_or(0, |notice| notice.order_key);
+            let is_next = |held: &HeldMessage| {
+                key != 0 && held.pending_send.is_some() && held.message.order_key() == key
+            };
+            let waiting = self.messages.iter().find(|(_, held)| is_next(held)).map(|(number, _)| *number);
+            waiting.into_iter().for_each(|next| self.start_pending_send(next));
         }
     }
 
     /// The steps to the end of a process that was told to end.
-    fn step_down(&mut self) {
+    fn advance_shutdown(&mut self) {
         let closing = self.terminated_at.is_some_and(|at| at.elapsed() >= ACCEPT_AFTER_TERMINATE);
         if closing && *self.stage.borrow() == LifecycleStage::Draining {
             self.stage.send_replace(LifecycleStage::Closing);
@@ -793,20 +799,20 @@
 
     /// Whether the process may end: nothing is left to do, also for clients whose connections are open or have come to a
     /// listener that accepts no more.
-    fn has_ended(&self, accepted: bool) -> bool {
+    fn may_exit(&self, accept_loop_ended: bool) -> bool {
         let Some(at) = self.terminated_at else { return false };
-        let idle = self.calls.is_empty() && self.messages.is_empty() && self.notices.is_empty();
-        let idle = idle && accepted && self.connection_limit.in_use() == 0;
+        let idle = self.calls.is_empty() && self.messages.is_empty() && self.pending_notices.is_empty();
+        let idle = idle && accept_loop_ended && self.connection_limit.in_use() == 0;
         at.elapsed() >= TERMINATE_TIMEOUT || idle && at.elapsed() >= 2 * ACCEPT_AFTER_TERMINATE
     }
 
-    fn wake_at(&self) -> Instant {
+    fn next_wake(&self) -> Instant {
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
         let stop = self.terminated_at.map(|at| {
             let steps =
                 [at + ACCEPT_AFTER_TERMINATE, at + 2 * ACCEPT_AFTER_TERMINATE, at + TERMINATE_TIMEOUT];
             steps.into_iter().find(|s| *s > Instant::now()).unwrap_or(at)
         });
-        [timer, stop].into_iter().flatten().min().unwrap_or_else(|| Instant::now() + SWEEP)
+        [timer, stop].into_iter().flatten().min().unwrap_or_else(|| Instant::now() + MAINTENANCE_INTERVAL)
     }
 }
--- a/src/bin/foldtrack/streams.rs
+++ b/src/bin/foldtrack/streams.rs
@@ -10,8 +10,8 @@
 
 /// What a peer sends beyond its answer is read for so long and so far: to close a socket with unread bytes resets the
 /// connection, which may take back an answer that is still on its way.
-const LINGER: Duration = Duration::from_millis(200);
-const LINGER_BYTES: usize = 256 * 1024;
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
 /// Hears what passes through a [`ObservedStream`] stream. The HTTP library flushes a stream once it has written what it holds.
 pub(crate) trait StreamObserver<S> {
@@ -33,9 +33,9 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(this.observer.poll_read_allowed(&this.stream, cx))?;
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         ready!(Pin::new(&mut this.stream).poll_read(cx, buf))?;
-        this.observer.on_read(&buf.filled()[before..]);
+        this.observer.on_read(&buf.filled()[filled_before..]);
         Poll::Ready(Ok(()))
     }
 }
@@ -72,14 +72,14 @@
     if stream.shutdown().await.is_err() {
         return;
     }
-    let rest = async {
-        let (mut buffer, mut seen) = ([0; 4096], 0);
+    let discard_rest = async {
+        let (mut buffer, mut discarded) = ([0; 4096], 0);
         while let Ok(n @ 1..) = stream.read(&mut buffer).await {
-            seen += n;
-            if seen > LINGER_BYTES {
+            discarded += n;
+            if discarded > MAX_LINGER_BYTES {
                 return;
             }
         }
     };
-    let _ = timeout(LINGER, rest).await;
+    let _ = timeout(LINGER_TIMEOUT, discard_rest).await;
 }
