--- a/src/bin/foldtrack/admin_server.rs
+++ b/src/bin/foldtrack/admin_server.rs
@@ -1,5 +1,5 @@
-//! The door for operators: HTTP at an address of its own, one call to a connection. It decides nothing: a call that
-//! takes an endpoint out or puts it back becomes an event of the node, which answers it.
+//! The HTTP server for operators, on an address of its own, with one request per connection. It parses
+//! requests and passes them to the node, which decides and responds.
 
 use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
 use crate::events::{AdminRequest, AdminResponse, EventSender, NodeEvent};
@@ -20,21 +20,24 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// Connections at once at the most: few, so that callers take no descriptors from the messages.
+/// Limit on concurrent connections. It is small so that operators take no file descriptors away from
+/// messages.
 pub(crate) const MAX_CONNECTIONS: usize = 16;
-/// A call comes whole within this span: its answer is due 1 s after it began.
+/// Time within which a request has to arrive whole: its response is due 1 s after it began.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
-/// Where the node has not answered so long after a caller came, as while it waits to take over, the answer is no.
+/// If the node has not responded this long after the connection was accepted, as while it waits to take over,
+/// the response is 503.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// No call needs a body; a longer one than this is not read.
+/// No request needs a body; one longer than this is not read.
 const MAX_BODY_BYTES: usize = 4 * 1024;
-/// Bytes of a call's head at most; the least that the HTTP library takes.
+/// Limit on the head of a request: the least that the HTTP library supports.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Pauses after the address could not be listened on, or a connection not be accepted.
+/// Delays before retrying a failed bind or accept.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves operators for as long as the process runs. Messages go on without it where it cannot listen.
+/// Serves operators for as long as the process runs. Messages are served even if this address cannot be
+/// bound.
 pub(crate) async fn serve(address: SocketAddr, events: EventSender) {
     let listener = loop {
         match TcpListener::bind(address).await {
@@ -57,7 +60,7 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = serve_connection(stream, &events, &permit) => {}
-                // Only a caller that has asked for nothing yet is told to make room.
+                // Only a connection that has not sent a request yet is evicted.
                 Ok(()) = evicted => {}
             }
         });
@@ -76,7 +79,7 @@
         .keep_alive(false)
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service);
-    // Errors are the caller's: it has gone, or does not speak HTTP.
+    // Errors are the peer's: it has disconnected, or does not speak HTTP.
     let _ = poll_fn(|cx| http_connection.poll_without_shutdown(cx)).await;
     streams::lingering_close(http_connection.into_parts().io.into_inner()).await;
 }
@@ -104,10 +107,12 @@
     response
 }
 
-/// Why a call means nothing; with the method that its path takes, where it is that.
+/// Why a request is invalid.
 #[derive(Debug, PartialEq, Eq)]
 enum RequestError {
+    /// No resource has this path.
     UnknownPath,
+    /// The path takes this method only.
     MethodNotAllowed(&'static str),
 }
 
@@ -132,7 +137,7 @@
     Err(RequestError::MethodNotAllowed(if expected == Method::GET { "GET" } else { "POST" }))
 }
 
-/// A call counts once all of it has come: half a call has no effect.
+/// Reads the body to its end: an incomplete request has no effect.
 async fn read_body(body: Incoming) -> Result<(), StatusCode> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
@@ -145,7 +150,8 @@
     }
 }
 
-/// An answer that is not awaited any more is no, and its call has no effect.
+/// Passes a request to the node and waits for its response. A request that has timed out has no effect: the
+/// node drops it.
 async fn ask_node(request: AdminRequest, events: &EventSender, deadline: Instant) -> AdminResponse {
     let (reply, response) = oneshot::channel();
     events.send(NodeEvent::Admin { request, reply });
--- a/src/bin/foldtrack/admission.rs
+++ b/src/bin/foldtrack/admission.rs
@@ -1,7 +1,9 @@
-//! New requests are let in a few at a time, so that what is taken on already comes first.
+//! Admission control: admits a few new requests per turn of the event loop, so that accepted messages are
+//! served first.
 //!
-//! The runtime polls what is ready in the order in which it became so. Where processor time is short hundreds of clients
-//! are, and the end of a message, its notice and the answer to that each waited behind all of them.
+//! The runtime polls tasks in the order in which they become ready. Under overload hundreds of client
+//! connections are ready at a time, and the end of a message, its notice and the acknowledgement each would
+//! wait behind all of them. A turn is one pass of the event loop over all tasks that are ready.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -13,20 +15,22 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
+/// The waiters of one limiter.
 struct Queue {
-    /// How many may pass in one turn of the runtime, in which all else that is ready has its turn as well.
+    /// Admissions per turn of the event loop.
     per_turn: usize,
-    /// How many may pass yet in this turn.
+    /// Admissions left in this turn.
     remaining: usize,
     waiters: VecDeque<oneshot::Sender<()>>,
-    /// Turns are being counted.
+    /// A task that counts the turns is running.
     turn_task_running: bool,
-    /// Whose turn it is: the newest's or the oldest's.
+    /// Which end of the queue was chosen last: the oldest waiter or the newest.
     pick_oldest: bool,
 }
 
 impl Queue {
-    /// The newest can be answered in time yet, while the oldest may have gone: each has every other pass.
+    /// Takes the oldest and the newest waiter alternately: the newest can still be answered in time, while
+    /// the client of the oldest may have disconnected.
     fn next_waiter(&mut self) -> Option<oneshot::Sender<()>> {
         self.pick_oldest = !self.pick_oldest;
         if self.pick_oldest {
@@ -36,13 +40,13 @@
         }
     }
 
-    /// A turn is over: whether another has to be counted.
+    /// Starts the next turn. Returns whether turns have to be counted any longer.
     fn start_turn(&mut self) -> bool {
         let idle = self.remaining == self.per_turn;
         self.remaining = self.per_turn;
         while self.remaining > 0 {
             let Some(waiter) = self.next_waiter() else { break };
-            // One that has ended meanwhile takes no room.
+            // A waiter that was dropped meanwhile uses up no admission.
             self.remaining -= usize::from(waiter.send(()).is_ok());
         }
         self.turn_task_running = !(idle && self.remaining == self.per_turn);
@@ -50,7 +54,7 @@
     }
 }
 
-/// Where the connections of all clients pass, with each request.
+/// Limits how many connections may accept or read a request per turn of the event loop.
 #[derive(Clone)]
 pub(crate) struct AdmissionLimiter(Arc<Mutex<Queue>>);
 
@@ -67,11 +71,11 @@
     }
 
     fn queue(&self) -> MutexGuard<'_, Queue> {
-        // A panic elsewhere leaves at worst one pass too many.
+        // After a panic elsewhere at worst one waiter too many is admitted.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes, or has to wait.
+    /// Admits the caller at once (`None`), or queues it and returns the receiver of its admission.
     fn admit_or_queue(&self) -> Option<oneshot::Receiver<()>> {
         let mut queue = self.queue();
         if !queue.turn_task_running {
@@ -94,7 +98,7 @@
     }
 }
 
-/// One connection's wait at the turnstile.
+/// One connection's place in the queue of a limiter.
 pub(crate) struct AdmissionWaiter {
     limiter: AdmissionLimiter,
     pending: Option<(Instant, oneshot::Receiver<()>)>,
@@ -105,14 +109,14 @@
         AdmissionWaiter { limiter: limiter.clone(), pending: None }
     }
 
-    /// Passes once, and tells how long that took.
+    /// Waits for one admission and returns how long that took.
     pub fn poll_admitted(&mut self, cx: &mut Context) -> Poll<Duration> {
         if self.pending.is_none() {
             let Some(admitted) = self.limiter.admit_or_queue() else { return Poll::Ready(Duration::ZERO) };
             self.pending = Some((Instant::now(), admitted));
         }
         let Some((since, admitted)) = &mut self.pending else { return Poll::Ready(Duration::ZERO) };
-        // The turnstile is never gone: the ticket holds it.
+        // The sender is never dropped while the limiter exists, and this waiter holds it.
         let waited = since.elapsed();
         if Pin::new(admitted).poll(cx).is_pending() {
             return Poll::Pending;
@@ -126,7 +130,7 @@
 mod tests {
     use super::*;
 
-    /// Who has passed among tickets that came in the order of their numbers.
+    /// Polls waiters that are numbered in the order of their arrival, and notes those that are admitted.
     fn poll_all(waiters: &mut [AdmissionWaiter], admitted: &mut Vec<usize>) {
         let mut cx = Context::from_waker(std::task::Waker::noop());
         for (i, waiter) in waiters.iter_mut().enumerate() {
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that clients hand their messages in to.
+//! The HTTP server to which clients submit their messages.
 
 use crate::admission::{AdmissionLimiter, AdmissionWaiter};
 use crate::clock::Clock;
@@ -32,32 +32,33 @@
 use tokio::time::{sleep, timeout, Instant};
 
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The list numbers destinations in 16 bits: a message for a higher number could never go anywhere.
+/// The endpoint list numbers destinations in 16 bits: a message for a higher number could never be sent.
 const MAX_DESTINATION: f64 = u16::MAX as f64;
-/// Bytes that a connection buffers at most.
+/// Upper bound on the bytes that a connection buffers.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// So long may a new connection bring no whole head of a request, and one that has been answered nothing of the next:
-/// idle clients are owed 2 s, and a peer that does not speak the protocol an end within 3 s of connecting, the time for
-/// a body included.
+/// Time within which a new connection has to send a whole request head, and after which an idle connection is
+/// closed. Idle clients must be kept for 2 s, and a peer that does not speak the protocol must be closed
+/// within 3 s of connecting, the time for a body included.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
-/// What has begun to come when that is over has this time yet to become a whole head.
+/// Additional time for a head that has begun to arrive by then.
 const HEAD_COMPLETION_TIMEOUT: Duration = BODY_TIMEOUT;
-/// A client that does not finish its request within this span has gone: it waits 400 ms for its answer.
+/// A client that does not finish its request within this time has disconnected: it waits only 400 ms for its
+/// response.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
-/// A client waits so long for its answer.
+/// How long a client waits for its response.
 const CLIENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A request that has waited for so long until it was read is refused: reading, deciding and writing its answer
-/// come yet.
+/// A request that has waited this long to be read is refused: the rest of the client's time is needed to read
+/// it, to decide and to respond.
 const MAX_READ_DELAY: Duration = Duration::from_millis(200);
-/// What is refused for want of time may come again after this, if the settings allow that to be said: what was too much
-/// has been worked off or refused by then.
+/// Retry-after for requests refused under overload, where the settings allow one: the excess has been
+/// processed or refused by then.
 const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
-/// From when connections are to close until they do.
+/// Delay between the `Closing` stage and the close of a connection.
 const CLOSE_DELAY: Duration = Duration::from_millis(50);
-/// Pause after a connection could not be accepted, for want of descriptors say.
+/// Delay before accepting again after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the connections share.
+/// State shared by all connections.
 pub(crate) struct ServerContext {
     pub settings: Arc<Parsed>,
     pub clock: Clock,
@@ -67,21 +68,22 @@
     pub read_limiter: AdmissionLimiter,
 }
 
-/// Connections that are accepted, and requests that are read, in one turn of the runtime: some 1 ms of work, so that a
-/// turn stays well under the 300 ms of a notice also with a hundredth of a core.
+/// Connections accepted, and requests read, per turn of the event loop: about 1 ms of work. Even with 1 % of
+/// a core, a turn then stays well below the 300 ms within which a notice is due.
 const ACCEPTS_PER_TURN: usize = 2;
 pub(crate) const READS_PER_TURN: usize = 8;
-/// Connections that wait to be accepted, where time is not short: as many as the listener is bound with.
+/// Length of the listener's accept queue without overload: the length that the listener is bound with.
 const MAX_ACCEPT_BACKLOG: u32 = 1024;
 
-/// So many wait to be accepted as are accepted in time to be answered, where a turn takes so long: those that come when
-/// these wait already cost nothing, and clients that give up would leave dead ones in the queue.
+/// Length of the accept queue that can be accepted in time for a response, given the mean turn time.
+/// Connections beyond it are rejected by the kernel at no cost, and a longer queue would fill with clients
+/// that have given up.
 fn accept_backlog(turn: Duration) -> u32 {
     let turns = MAX_READ_DELAY.as_secs_f64() / turn.as_secs_f64().max(1e-6);
     ((turns * ACCEPTS_PER_TURN as f64) as u32).clamp(1, MAX_ACCEPT_BACKLOG)
 }
 
-/// Serves connections for as long as the stage has it.
+/// Accepts and serves connections until the stage of the process ends that.
 pub(crate) async fn serve(listener: TcpListener, context: Arc<ServerContext>, connections: ConnectionLimit) {
     let mut stage = context.stage.clone();
     let mut waiter = AdmissionWaiter::new(&AdmissionLimiter::new(ACCEPTS_PER_TURN));
@@ -121,7 +123,8 @@
         let accepted = tokio::select! {
             accepted = accept => accepted,
             _ = stage.wait_for(|s| !s.accepts()), if !draining => {
-                // A successor accepts from the same queue. Else what waits in it would be reset unanswered.
+                // A successor accepts from the same queue. Otherwise connections that wait in it would be
+                // reset without a response.
                 if *context.stage.borrow() == LifecycleStage::HandedOver {
                     if backlog < MAX_ACCEPT_BACKLOG {
                         set_backlog(&listener, MAX_ACCEPT_BACKLOG);
@@ -134,7 +137,8 @@
         };
         match accepted {
             Some((_, stream, _)) if context.overload.is_overloaded() && has_hung_up(&stream) => {
-                // Not beside the loop: what holds no place would hold descriptors without bound.
+                // Awaited here rather than in a task of its own: it holds no permit, so the open descriptors
+                // would be unbounded.
                 refuse_unread(stream).await;
             }
             Some((permit, stream, queue_time)) => {
@@ -151,22 +155,22 @@
     }
 }
 
-/// So many connections may wait to be accepted from now on.
+/// Sets the length of the listener's accept queue.
 fn set_backlog(listener: &TcpListener, count: u32) {
     if let Err(error) = listen(listener, i32::try_from(count).unwrap_or(i32::MAX)) {
         eprintln!("clients: {count} cannot wait to be accepted: {error}");
     }
 }
 
-/// Whether a client has ended its sending, though what it sent may be unread yet.
+/// Whether a client has closed its sending side, even if data that it sent is still unread.
 fn has_hung_up(stream: &TcpStream) -> bool {
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     poll(&mut polled, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
 }
 
-/// Refuses what a client sent that had hung up before it was accepted, in a time of strain. Nearly all of these have
-/// gone: their 400 ms are over. To read, log and decide on their requests takes the time that the next would need, until
-/// each is served too late.
+/// Refuses a connection that was half-closed before it was accepted, under overload, without reading it.
+/// Nearly all of these clients have given up after their 400 ms. Processing their requests would take the
+/// time that live clients need, until every request is served too late.
 async fn refuse_unread(mut stream: impl ClientStream) {
     let refusal_response =
         b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
@@ -175,11 +179,12 @@
     }
 }
 
-/// What is asked of a client's socket beyond reading and writing.
+/// What a client's socket offers beyond reading and writing.
 trait ClientStream: AsyncRead + AsyncWrite + Unpin {
-    /// There is something to read, or the client has ended its sending.
+    /// Ready when there is something to read, or the client has closed its sending side.
     fn poll_readable(&self, cx: &mut Context) -> Poll<io::Result<()>>;
-    /// The client has ended its sending side, or has gone, though what it sent may be unread yet.
+    /// Whether the client has closed its sending side or disconnected, even if data that it sent is still
+    /// unread.
     fn has_hung_up(&self) -> bool;
 }
 
@@ -193,43 +198,44 @@
     }
 }
 
-/// How far a connection is with its present request.
+/// Progress of the current request of a connection.
 #[derive(Default)]
 struct RequestProgress {
-    /// Bytes of it have come, and its answer is not written.
+    /// Bytes of the request have arrived, and its response is not written yet.
     request_started: bool,
-    /// The head of it has come.
+    /// The head of the request has arrived.
     head_received: bool,
-    /// When the answer before was written, if there was one.
+    /// When the previous response was written, if there was one.
     idle_since: Option<Instant>,
-    /// The answer is with the HTTP library: the next flush has written it.
+    /// The HTTP library has the response: the next flush completes it.
     response_ready: bool,
-    /// What tells whether that answer was written, if it takes a message on.
+    /// Reports whether that response was written, if it accepts a message.
     response_guard: Option<ResponseGuard>,
-    /// Something has come, and waits to be read.
+    /// Data has arrived and waits to be read.
     read_pending: bool,
-    /// It may have waited for so long until it was read, in all.
+    /// Total time that the request may have waited to be read.
     queue_time: Duration,
-    /// That was too long to be served in time.
+    /// The wait was too long for a response in time.
     too_late: bool,
-    /// And its client has hung up meanwhile.
+    /// The client also disconnected meanwhile.
     client_gone: bool,
 }
 
 #[derive(Clone, Default)]
+/// State of a connection, shared by its observer, its service and its main loop.
 struct ConnectionState(Arc<Mutex<RequestProgress>>);
 
-/// The line of a connection, which is read from when it has passed the turnstile.
+/// Tracks the requests of a connection and delays the read of each until it is admitted.
 struct ClientObserver {
     state: ConnectionState,
     waiter: AdmissionWaiter,
-    /// Its first request may have waited for so long until the connection was accepted.
+    /// Time that the connection may have waited in the accept queue; counts for its first request.
     queue_time: Duration,
 }
 
 impl ConnectionState {
     fn progress(&self) -> MutexGuard<'_, RequestProgress> {
-        // Each change is an assignment: a panic elsewhere leaves it whole.
+        // Each change is an assignment, so a panic elsewhere leaves it consistent.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -262,7 +268,8 @@
         if !progress.response_ready {
             return;
         }
-        // What has left whole binds, wherever the client goes from then on: it may have heard.
+        // A response that was written whole is binding even if the client disconnects now: it may have
+        // arrived.
         if let Some(mut response_guard) = progress.response_guard.take() {
             response_guard.written = true;
         }
@@ -270,13 +277,13 @@
     }
 }
 
-/// What is due for a connection when it may have been quiet for [`HEAD_TIMEOUT`].
+/// What to do with a connection whose idle timer has fired.
 enum IdleCheck {
-    /// To look again then.
+    /// Check again at this time.
     RecheckAt(Instant),
-    /// It is idle, and closes.
+    /// Close it, as it is idle.
     CloseIdle,
-    /// It has brought no request.
+    /// Drop it, as it has sent no request.
     NoRequest,
 }
 
@@ -292,6 +299,7 @@
     }
 }
 
+/// Serves one client connection until it is closed.
 async fn serve_client(
     stream: impl ClientStream, context: Arc<ServerContext>,
     (permit, mut evicted): (ConnectionPermit, oneshot::Receiver<()>), queue_time: Duration,
@@ -299,7 +307,7 @@
     let mut stage = context.stage.clone();
     let close_stage = async {
         let _ = stage.wait_for(|s| *s == LifecycleStage::Closing).await;
-        // What has come to the socket is seen by then.
+        // Requests that have already arrived at the socket are noticed within this time.
         sleep(CLOSE_DELAY).await;
     };
     let mut close_stage = pin!(close_stage);
@@ -317,16 +325,17 @@
         .max_buf_size(MAX_BUFFER_BYTES)
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT + HEAD_COMPLETION_TIMEOUT)
-        // A client may end its sending side once its request is out, and still wait for the answer.
+        // A client may half-close its connection after its request and still wait for the response.
         .half_close(true)
         .serve_connection(TokioIo::new(ObservedStream { stream, observer }), service);
     let (mut evictable, mut closing) = (true, false);
     let mut idle_timer = pin!(sleep(HEAD_TIMEOUT));
-    // A request that has come is read before the connection is told to close: it would be cut off unanswered.
+    // A request that has arrived is read before the connection is told to close, as it would be cut off
+    // without a response.
     loop {
         tokio::select! {
             biased;
-            // Errors are the client's: it has gone, or does not speak HTTP.
+            // Errors are the client's: it has disconnected, or does not speak HTTP.
             _ = poll_fn(|cx| http_connection.poll_without_shutdown(cx)) => break,
             signal = &mut evicted, if evictable => {
                 evictable = false;
@@ -344,7 +353,7 @@
             },
             () = &mut close_stage, if !closing => {
                 closing = true;
-                // What has begun to come has an answer that closes the connection.
+                // The response to a request that has begun to arrive closes the connection.
                 let RequestProgress { request_started, read_pending, .. } = *state.progress();
                 if !request_started && !read_pending {
                     Pin::new(&mut http_connection).graceful_shutdown();
@@ -353,7 +362,7 @@
         }
     }
     let client = http_connection.into_parts().io.into_inner().stream;
-    // An answer that was not written takes nothing on: its receipt goes with the rest.
+    // A response that was not written accepts nothing: dropping its guard reports that.
     let client_gone = std::mem::take(&mut *state.progress()).client_gone;
     if client_gone {
         refuse_unread(client).await;
@@ -362,12 +371,14 @@
     }
 }
 
+/// A response without a body.
 fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
+/// Responds to one request.
 async fn respond(
     request: Request<Incoming>, context: &ServerContext, permit: &ConnectionPermit, state: &ConnectionState,
 ) -> Response<Full<Bytes>> {
@@ -376,7 +387,7 @@
         (&Method::GET, "/healthz") => empty_response(StatusCode::OK),
         _ => submit(request, context, permit, state).await.unwrap_or_else(empty_response),
     };
-    // A peer that does not speak the protocol keeps no place either.
+    // A peer that does not speak the protocol does not keep its connection either.
     if *context.stage.borrow() != LifecycleStage::Serving || response.status().is_client_error() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -384,6 +395,7 @@
     response
 }
 
+/// A 503 response, with a retry-after unless that is 0.
 fn refusal_response(retry_in_ms: u64) -> Response<Full<Bytes>> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if retry_in_ms > 0 {
@@ -393,7 +405,7 @@
     response
 }
 
-/// Hands a message to the node and waits for what becomes of it.
+/// Submits a message to the node and waits for its response.
 async fn submit(
     request: Request<Incoming>, context: &ServerContext, permit: &ConnectionPermit, state: &ConnectionState,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
@@ -418,11 +430,13 @@
     }
 }
 
+/// Parses a request into a message, or returns the status to reject it with.
 async fn read_message(
     request: Request<Incoming>, context: &ServerContext, queue_time: Duration,
 ) -> Result<Message, StatusCode> {
     const BAD_REQUEST_STATUS: StatusCode = StatusCode::BAD_REQUEST;
-    // The client's time runs since it sent: what the body takes to come counts, and what the request waited to be read.
+    // The client's time counts from when it sent the request: the arrival of the body and the wait to be read
+    // are part of it.
     let sent_at = context
         .clock
         .now()
@@ -435,7 +449,8 @@
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
     let class_settings = &context.settings.settings.classes[class];
-    // Only a class in order has a key in its path, none has a query: a peer that adds them is no client.
+    // Only classes with ordered delivery take a key in the path, and none takes a query: a peer that sends
+    // one is not a valid client.
     if !(class_settings.in_order || key.is_empty()) || request.uri().query().is_some() {
         return Err(StatusCode::NOT_FOUND);
     }
@@ -452,7 +467,8 @@
         return Err(BAD_REQUEST_STATUS);
     }
     let retry = header("X-Retry")?;
-    // Where a body ends must be beyond doubt: what a peer hides behind it would pass for a request.
+    // The length of the body must be unambiguous, or what a peer appends to it could pass for another
+    // request.
     if !request.headers().contains_key(CONTENT_LENGTH) {
         return Err(StatusCode::LENGTH_REQUIRED);
     }
@@ -469,7 +485,7 @@
     Ok(Message { id, class, destination, key, idempotency_key, retry, expires, body })
 }
 
-/// A span as a number and a unit: `480m` milliseconds or `900u` microseconds.
+/// Parses a duration of a number and a unit: `480m` for milliseconds, `900u` for microseconds.
 fn parse_duration(text: &str) -> Option<Micros> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let micros_per_unit = match unit {
@@ -481,6 +497,7 @@
     (0.0..1e15).contains(&duration).then_some(duration as Micros)
 }
 
+/// Parses the destination number from a list of pairs such as `dest=7`.
 fn parse_destination(text: &str) -> Option<u32> {
     let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
     let number = pairs.find(|(name, _)| name.trim() == "dest")?.1.trim().parse::<f64>().ok()?;
--- a/src/bin/foldtrack/client_server_tests.rs
+++ b/src/bin/foldtrack/client_server_tests.rs
@@ -1,4 +1,5 @@
-//! What peers of the client side see, in paused time: no peer holds a connection that brings no request.
+//! Client connections as peers see them, mostly in paused time: no peer keeps a connection open without
+//! sending a request.
 
 use super::*;
 use crate::events;
@@ -45,20 +46,21 @@
     })
 }
 
-/// A peer, and the stage of the forwarder it has connected to.
+/// Connects a peer to a server; with the sender of the server's stage.
 async fn connect() -> (DuplexStream, watch::Sender<LifecycleStage>) {
     let (peer, stage, _) = connect_with_limit(&ConnectionLimit::new(1)).await;
     (peer, stage)
 }
 
-/// The same among others, for whom there are so many places; and the way to what the forwarder is handed.
+/// The same under a shared connection limit; with the receiver of the events that the server reports to the
+/// node.
 async fn connect_with_limit(
     connections: &ConnectionLimit,
 ) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
     connect_with_buffer(1 << 20, connections).await
 }
 
-/// The same over a network that holds so many bytes each way.
+/// The same over a network that buffers `buffer_bytes` in each direction.
 async fn connect_with_buffer(
     buffer_bytes: usize, connections: &ConnectionLimit,
 ) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
@@ -71,7 +73,7 @@
     (peer, stage, receiver)
 }
 
-/// Reads until the connection ends; what came, and how long that took.
+/// Reads until the connection is closed; returns the data and the time that it took.
 async fn until_closed(peer: &mut DuplexStream) -> (String, Duration) {
     let start = Instant::now();
     let mut answer = Vec::new();
@@ -102,7 +104,7 @@
     );
 }
 
-/// The head may take nearly all its time; the body must not add as much again.
+/// The head may take nearly all of its time; the body must not extend the limit.
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_never_ends_its_body_is_answered_in_time() {
     let (mut peer, _stage) = connect().await;
@@ -117,8 +119,8 @@
     assert!(head_time + took < CLOSE_DEADLINE, "answered and closed after {:?}", head_time + took);
 }
 
-/// scrape+rate+leave with little processor time: a message ended, and its notice came, by as much too late as its request
-/// had waited in queues.
+/// Guards against deadlines that count from when a request is read: under overload it waits in queues before,
+/// and its message ended, with its notice, too late by that time.
 #[tokio::test(start_paused = true)]
 async fn a_messages_time_counts_from_before_its_wait_to_be_read() {
     let (mut client, server_side) = duplex(1024);
@@ -139,7 +141,7 @@
     }
 }
 
-/// Found on r3546: silent peers held every place, and clients were accepted late or not at all.
+/// Guards against silent peers that occupy all connections and keep clients waiting to be accepted.
 #[tokio::test(start_paused = true)]
 async fn silent_peers_make_room_but_a_client_that_has_handed_in_does_not() {
     let connections = ConnectionLimit::new(3);
@@ -165,7 +167,7 @@
     assert_eq!(&answer, b"HTTP/1.1 503");
 }
 
-/// Takes on what is handed in, as the node does.
+/// Accepts the next submitted message, as the node does.
 async fn accept_submission(events: &mut UnboundedReceiver<NodeEvent>) {
     match events.recv().await {
         Some(NodeEvent::Submit { reply, .. }) => {
@@ -176,15 +178,15 @@
     }
 }
 
-/// A full house closes a newcomer to make room. One whose request is whole by then has settled: it has its answer, and
-/// the next newcomer goes in its place.
+/// At the limit, a silent connection is evicted. One whose request has arrived whole by then is active: it
+/// has its response, and the next candidate is evicted in its place.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_is_whole_when_its_connection_is_to_make_room_has_its_answer() {
     let connections = ConnectionLimit::new(2);
     let (mut client, _stage, mut events) = connect_with_limit(&connections).await;
     let (mut silent, _silent_stage, _silent_events) = connect_with_limit(&connections).await;
     client.write_all(REQUEST).await.unwrap();
-    // Nothing has run since: the oldest newcomer is told to go before its request is read.
+    // No task has run since: the oldest candidate is evicted before its request is read.
     let (next, ()) = tokio::join!(connections.acquire(), accept_submission(&mut events));
     assert!(next.is_some());
     let mut answer = [0; 12];
@@ -194,11 +196,11 @@
     assert!(took.is_zero(), "the silent peer stayed for {took:?}");
 }
 
-/// The message may go from the moment when its client can have heard of it, and not before.
+/// A message may be sent once its client can have received the response, and not before.
 #[tokio::test(start_paused = true)]
 async fn a_message_counts_as_taken_on_once_its_answer_is_written_whole() {
     for client_leaves in [false, true] {
-        // The network has room for a part of the answer.
+        // The network buffers only a part of the response.
         let (mut client, _stage, mut events) = connect_with_buffer(32, &ConnectionLimit::new(1)).await;
         client.write_all(REQUEST).await.unwrap();
         let (node_events, mut told) = events::channel();
@@ -220,7 +222,7 @@
     }
 }
 
-/// A request of which a part has come when the process is about to end has its answer too, on a kept connection.
+/// A request that has partly arrived on a kept connection when the process is about to end gets its response.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_comes_in_pieces_while_connections_close_has_its_answer() {
     let (mut client, stage, mut events) = connect_with_limit(&ConnectionLimit::new(1)).await;
@@ -238,7 +240,7 @@
     assert!(answer.contains("HTTP/1.1 202") && answer.contains("connection: close"), "{answer}");
 }
 
-/// To close a socket with unread bytes resets it, which can take back an answer on its way.
+/// Closing a socket with unread bytes resets the connection, which can discard a response in transit.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_sends_more_than_is_answered_is_read_on_while_its_connection_closes() {
     let (mut client, stage, mut events) = connect_with_buffer(1024, &ConnectionLimit::new(1)).await;
@@ -256,7 +258,8 @@
     assert!(answer.starts_with("HTTP/1.1 202"), "{answer}");
 }
 
-/// scrape+rate+leave with little processor time: it all went to requests whose clients had gone.
+/// Guards against an overloaded server that spends all its time on requests of clients that have
+/// disconnected.
 #[tokio::test]
 async fn in_strain_what_hung_up_before_it_was_accepted_is_refused_unread() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -285,7 +288,7 @@
     assert!(receiver.try_recv().is_err(), "the other was handed in too");
 }
 
-/// Clients with a request each, all written before the first is accepted.
+/// Connects clients and writes a request for each before the first is accepted.
 async fn clients(address: SocketAddr, count: usize) -> Vec<TcpStream> {
     let mut all = Vec::new();
     for _ in 0..count {
@@ -296,7 +299,7 @@
     all
 }
 
-/// scrape+rate+leave with little processor time: an end and its notice waited behind all clients that were ready.
+/// Guards against the end of a message and its notice waiting behind all client connections that are ready.
 #[tokio::test]
 async fn in_one_turn_of_the_runtime_only_a_few_requests_are_taken_in() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -310,7 +313,7 @@
             Some(NodeEvent::Submit { reply, .. }) => drop(reply),
             _ => panic!("nothing was handed in"),
         }
-        // The connections stand, and all have something to say at one moment.
+        // All connections are open and send their next request at the same moment.
         client.readable().await.unwrap();
     }
     for client in &clients {
@@ -328,7 +331,8 @@
     assert_eq!(submitted.len(), 5 * READS_PER_TURN, "all have their turn");
 }
 
-/// Two requests, of which one has to wait until it is too late. What became of it, and how many were handed in.
+/// Submits two requests, one of which waits until it is too late. Returns the responses, the number of
+/// submitted messages and whether a late refusal was reported.
 async fn submit_two_while_loop_is_late(hangs_up: bool) -> (String, usize, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut both = clients(listener.local_addr().unwrap(), 2).await;
@@ -345,7 +349,7 @@
     tokio::spawn(serve(listener, Arc::new(limited_context), ConnectionLimit::new(4)));
     let first = receiver.recv().await;
     assert!(matches!(first, Some(NodeEvent::Submit { .. })));
-    // The loop comes late.
+    // The event loop is late.
     std::thread::sleep(MAX_READ_DELAY);
     drop(first);
     let (mut answers, mut submitted, mut counted) = (String::new(), 1, false);
@@ -382,7 +386,7 @@
     assert_eq!([0, 50, 100, 3000].map(of_turns_of), [MAX_ACCEPT_BACKLOG, 8, 4, 1]);
 }
 
-/// The listener's queue is longer than what is accepted by the time that nothing more is.
+/// The accept queue is longer than what is accepted before the listener closes.
 #[tokio::test]
 async fn what_waits_to_be_accepted_when_the_process_is_to_end_has_its_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/src/bin/foldtrack/connection_limit.rs
+++ b/src/bin/foldtrack/connection_limit.rs
@@ -1,35 +1,37 @@
-//! A bounded number of places for the connections of one listener. Any peer may connect: without a way to close
-//! those that send nothing, they would keep the others waiting to be accepted.
+//! Limits the open connections of one listener. Any peer may connect: unless silent connections are closed to
+//! make room, they would keep other clients waiting to be accepted.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{oneshot, OwnedSemaphorePermit, Semaphore};
 
-/// The connections that have asked for nothing yet, in the order in which they came, and what closes them.
+/// Connections that have not sent a request yet, in the order of their arrival, and the signals that close
+/// them.
 #[derive(Default)]
 struct EvictionCandidates {
     next_number: u64,
     close_signals: BTreeMap<u64, oneshot::Sender<()>>,
 }
 
+/// A value shared by a listener's connections.
 type Shared<T> = Arc<Mutex<T>>;
 
 fn lock(candidates: &Shared<EvictionCandidates>) -> MutexGuard<'_, EvictionCandidates> {
-    // Each change is one call on the map: a panic elsewhere leaves it whole.
+    // Each change is a single call on the map, so a panic elsewhere leaves it consistent.
     candidates.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The newcomer that has been silent longest is to make room.
+/// Closes the connection that has been silent for longest.
 fn evict_oldest(candidates: &Shared<EvictionCandidates>) {
     let oldest = lock(candidates).close_signals.pop_first();
     if let Some((_, close_signal)) = oldest {
-        // One that has just ended by itself makes room too.
+        // If the connection has just ended by itself, that makes room too.
         let _ = close_signal.send(());
     }
 }
 
-/// The places of one listener.
+/// Limit on the open connections of one listener.
 #[derive(Clone)]
 pub(crate) struct ConnectionLimit {
     semaphore: Arc<Semaphore>,
@@ -37,8 +39,8 @@
     candidates: Shared<EvictionCandidates>,
 }
 
-/// A connection's place, free again when this is dropped. Until it is settled the connection is a newcomer, which
-/// makes room for a later one where all places are taken.
+/// One open connection, counted until this is dropped. Until the connection is active it may be evicted to
+/// make room for a new one.
 pub(crate) struct ConnectionPermit {
     number: u64,
     candidates: Shared<EvictionCandidates>,
@@ -51,19 +53,19 @@
         ConnectionLimit { semaphore: Arc::new(Semaphore::new(limit)), limit, candidates: Shared::default() }
     }
 
-    /// How many are taken.
+    /// Number of open connections.
     pub fn in_use(&self) -> usize {
         self.limit.saturating_sub(self.semaphore.available_permits())
     }
 
-    /// Keeps places free, as many as there are of so many.
+    /// Reserves up to `count` of the connections that are still free.
     pub fn reserve(&self, count: usize) -> Option<OwnedSemaphorePermit> {
         let count = count.min(self.semaphore.available_permits());
         self.semaphore.clone().try_acquire_many_owned(u32::try_from(count).ok()?).ok()
     }
 
-    /// A place, and what tells that it is to be given up. Where there is none, the connection that has been silent
-    /// longest makes room.
+    /// Waits for a free connection and returns its permit, with the receiver that tells it to close. At the
+    /// limit, the connection that has been silent for longest is evicted.
     pub async fn acquire(&self) -> Option<(ConnectionPermit, oneshot::Receiver<()>)> {
         let permit = match self.semaphore.clone().try_acquire_owned() {
             Ok(permit) => permit,
@@ -90,13 +92,14 @@
 }
 
 impl ConnectionPermit {
-    /// The connection has asked for something: it keeps its place.
+    /// Protects the connection from eviction, since it has sent a request.
     pub fn mark_active(&self) {
         self.active.store(true, Ordering::Relaxed);
         lock(&self.candidates).close_signals.remove(&self.number);
     }
 
-    /// Told to make room, a connection that has settled meanwhile has the next newcomer do so. Whether it may stay.
+    /// Called by a connection that is told to close. If it has become active meanwhile, the next candidate is
+    /// evicted in its place. Returns whether the connection may stay open.
     pub fn decline_eviction(&self) -> bool {
         let active = self.active.load(Ordering::Relaxed);
         if active {
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -1,5 +1,5 @@
-//! The events that sockets, timers and signals report to the node, and the handles by which they do so. The modules that
-//! report events import this one and none imports the node.
+//! Events that connections, timers and signals report to the node, and the sender by which they do so.
+//! Modules that report events depend on this module, never on the node.
 
 use crate::connection::Connection;
 use crate::message::Message;
@@ -14,32 +14,34 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How far the process is from its end.
+/// Stage of the process between start and exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LifecycleStage {
     Serving,
-    /// Told to end: answers close their connections.
+    /// Told to end: each response closes its connection.
     Draining,
-    /// The same, and nothing is accepted any more: a successor does that.
+    /// As `Draining`, but a successor accepts the new connections.
     HandedOver,
-    /// Nothing is accepted any more, and idle connections close.
+    /// Nothing is accepted any more, and idle connections are closed.
     Closing,
 }
 
 impl LifecycleStage {
-    /// Whether new connections are accepted.
+    /// Whether this process accepts new connections.
     pub fn accepts(self) -> bool {
         matches!(self, LifecycleStage::Serving | LifecycleStage::Draining)
     }
 }
 
-/// What a client is told.
+/// The node's response to a submitted message.
 pub(crate) enum SubmitResponse {
+    /// The message is accepted once the response has been written.
     Accepted(ResponseGuard),
+    /// The message is refused; 0 stands for no retry-after.
     Refused { retry_in_ms: u64 },
 }
 
-/// Tells the node, when it is dropped, whether the client's answer has been written.
+/// Reports to the node, when dropped, whether the client's response has been written.
 pub(crate) struct ResponseGuard {
     number: u64,
     events: EventSender,
@@ -62,29 +64,32 @@
     }
 }
 
-/// What happens to the node.
+/// What can happen to the node.
 pub(crate) enum NodeEvent {
+    /// A client submits a message.
     Submit {
         message: Arc<Message>,
         reply: oneshot::Sender<SubmitResponse>,
     },
+    /// The response that accepts a message has been written, or its client has disconnected before.
     ResponseEnded {
         number: u64,
         written: bool,
     },
-    /// A message of this class was refused before it was handed in, for want of time.
+    /// A message of this class was refused before it was submitted, since its request had waited too long to
+    /// be read.
     RefusedLate {
         class: usize,
     },
     CallEnded(CallEnd),
     List(ServerList),
-    /// Notices were taken.
+    /// Discovery has acknowledged the notices of these messages.
     NoticesAcknowledged {
         numbers: Vec<u64>,
     },
-    /// Discovery is found there from now on.
+    /// The address of discovery has changed.
     DiscoveryAddress(SocketAddr),
-    /// A call's connection stands: may it be written still?
+    /// The connection of a call is established: asks whether the call may still be sent.
     Connected {
         number: u64,
         attempt: u32,
@@ -95,35 +100,34 @@
     MessageWritten {
         class: usize,
     },
-    /// A request to the admin server.
     Admin {
         request: AdminRequest,
         reply: oneshot::Sender<AdminResponse>,
     },
-    /// Another process would take over.
+    /// Another process asks to take over.
     Successor(UnixStream),
     Terminate,
 }
 
-/// The way to the node. The queue has no bound of its own: each connection and each call has one input under
-/// way, and connections and calls are bounded.
+/// Sends events to the node. The queue itself is unbounded, but each connection and each call has at most one
+/// event pending, and connections and calls are bounded.
 #[derive(Clone)]
 pub(crate) struct EventSender(UnboundedSender<NodeEvent>);
 
 impl EventSender {
     pub fn send(&self, event: NodeEvent) {
-        // The node is gone only when the process ends.
+        // The receiver is dropped only when the process exits.
         let _ = self.0.send(event);
     }
 }
 
-/// The channel to a node that is yet to run.
+/// Creates the channel of a node.
 pub(crate) fn channel() -> (EventSender, UnboundedReceiver<NodeEvent>) {
     let (sender, receiver) = mpsc::unbounded_channel();
     (EventSender(sender), receiver)
 }
 
-/// How a call ended.
+/// The end of a call.
 #[derive(Debug)]
 pub(crate) struct CallEnd {
     pub number: u64,
@@ -131,23 +135,23 @@
     pub target: TargetId,
     pub started_at: Instant,
     pub outcome: Outcome,
-    /// The answer says that nothing is owed for the message any more.
+    /// The response completes the message: no further attempt is needed.
     pub completes_message: bool,
-    /// How long its connection had stood idle before, if it did.
+    /// How long the connection had been idle before the call; `None` for a new connection.
     pub idle_for: Option<Duration>,
-    /// Nothing is to be sent to the destination until then.
+    /// The destination has asked for no calls before this time.
     pub wait_until: Option<Instant>,
     pub limit_report: Option<LimitReport>,
-    /// The answer told its outcome and did not come to its end.
+    /// The status of the response arrived, the rest of it did not.
     pub response_truncated: bool,
-    /// That of the call.
+    /// The endpoint's generation when the call began.
     pub generation: u32,
-    /// Fit for the next call.
+    /// The connection, if it can be reused.
     pub connection: Option<Connection>,
 }
 
 impl CallEnd {
-    /// The end of a call that began now and told nothing more.
+    /// A call that begins and ends now, with the other fields empty.
     pub fn new(
         number: u64, attempt: u32, target: TargetId, outcome: Outcome, completes_message: bool,
     ) -> CallEnd {
@@ -171,23 +175,23 @@
     }
 }
 
-/// What an operator may ask for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AdminRequest {
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     Ready,
     Metrics,
-    /// Exclude the endpoint of this name.
+    /// Disable the endpoint of this name.
     Disable(String),
-    /// Re-admit it.
+    /// Enable the endpoint of this name.
     Enable(String),
 }
 
-/// What the operator is answered.
+/// Response to an operator.
 #[derive(Debug)]
 pub(crate) struct AdminResponse {
     pub status: StatusCode,
-    /// Text of whole lines, or none.
+    /// Whole lines, or empty.
     pub text: String,
 }
 
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -1,31 +1,32 @@
-//! What the forwarder has done of late, in one line of the log a second at most: where the slots and the room
-//! are, how calls ended, and how far behind the loop and the notices are.
+//! The interval log line, written at most once a second: how messages and calls have ended since the last
+//! one, how much is held and in flight, and how far the event loop and the notices lag behind.
 
 use crate::journal::Notice;
 use hatchline::{Micros, Outcome};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Lines on single messages between two of the lines a second.
+/// Log lines on single undelivered messages per interval.
 const UNDELIVERED_LINES: u32 = 10;
 
-/// Counts since the last line.
+/// Counters since the last interval log line.
 #[derive(Debug, Default)]
 pub(crate) struct IntervalStats {
     pub accepted: u32,
     pub refused: u32,
-    /// Refused for want of time, before they were decided on.
+    /// Refused before the policy decided, since their requests had waited too long to be read.
     pub refused_late: u32,
     handed_back: u32,
     given_up: u32,
-    /// Clients that went before their answer was written.
+    /// Clients that disconnected before their response was written.
     pub clients_gone: u32,
-    /// Calls by their outcome, and for how long they held their slots.
+    /// Calls by outcome, and the total time for which they held their slots.
     calls_by_outcome: [u32; 9],
-    /// Answers that told their outcome, but did not come to their end.
+    /// Responses whose status arrived, but whose rest did not.
     pub truncated_responses: u32,
     call_time_by_outcome: [Duration; 9],
-    /// Resets of connections that had stood idle, the shortest such span, and the longest that did no harm.
+    /// Resets on connections that had been idle, the shortest idle time among these, and the longest idle
+    /// time after which a call succeeded.
     stale_resets: u32,
     shortest_stale_idle: Option<Duration>,
     longest_safe_idle: Duration,
@@ -34,14 +35,15 @@
     pub longest_round: Micros,
 }
 
-/// What a restart found taken on and untried, its time not over: it is still to be tried.
+/// What became of the messages that a restart found accepted, not yet attempted and within their deadlines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecoveryStats {
-    /// When that was; numbers below are from before.
+    /// When the restart was, and the first message number assigned after it.
     recovered_at: Micros,
     first_new_number: u64,
+    /// Number of these messages.
     untried: u32,
-    /// Given up without a call.
+    /// Those of them that ended undelivered without an attempt.
     given_up_untried: u32,
 }
 
@@ -50,19 +52,19 @@
         RecoveryStats { recovered_at, first_new_number, untried: 0, given_up_untried: 0 }
     }
 
-    /// A message was found whose time lasts until then, after so many attempts.
+    /// Counts a restored message if its deadline is not over and it was not attempted.
     pub fn record_restored(&mut self, expires: Micros, attempts: u32) {
         self.untried += u32::from(expires > self.recovered_at && attempts == 0);
     }
 
-    /// A message ends undelivered.
+    /// Counts the undelivered end of such a message.
     pub fn record_undelivered(&mut self, number: u64, expires: Micros, attempts: u32) {
         self.given_up_untried +=
             u32::from(number < self.first_new_number && expires > self.recovered_at && attempts == 0);
     }
 }
 
-/// Where things stand when the line is written.
+/// Values at the time at which the line is written.
 pub(crate) struct Gauges {
     pub recovery: RecoveryStats,
     pub held_messages: usize,
@@ -73,6 +75,7 @@
     pub event_loop_lag: Duration,
 }
 
+/// Outcomes as named in the line, in the order of [`outcome_index`].
 const OUTCOME_NAMES: [&str; 9] = [
     "ok",
     "error",
@@ -100,6 +103,7 @@
 }
 
 impl IntervalStats {
+    /// Counts a call that has ended; `idle_for` tells how long its reused connection had been idle.
     pub fn record_call(&mut self, outcome: Outcome, took: Duration, idle_for: Option<Duration>) {
         self.calls_by_outcome[outcome_index(outcome)] += 1;
         self.call_time_by_outcome[outcome_index(outcome)] += took;
@@ -115,7 +119,8 @@
         }
     }
 
-    /// A message that was taken on ends by a notice; a line on it, unless there were many of late.
+    /// Counts an accepted message that ends by a notice. Returns a log line for it, up to
+    /// [`UNDELIVERED_LINES`] per interval.
     pub fn record_undelivered(
         &mut self, id: &str, notice: Notice, attempts: u32, left: i64,
     ) -> Option<String> {
@@ -131,7 +136,7 @@
         few.then(|| format!("message {id}: {what} after {attempts} attempts, {left} us before its time"))
     }
 
-    /// The line, and a fresh count; nothing for a span in which nothing happened.
+    /// Renders the line and resets the counters. Returns nothing for an idle interval.
     pub fn take_line(&mut self, gauges: &Gauges) -> Option<String> {
         let stats = std::mem::take(self);
         let idle = stats.accepted
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -1,5 +1,5 @@
-//! One forwarder of outbound messages on real sockets: the decisions of `hatchline` between clients, targets
-//! and the platform.
+//! A forwarder of outbound messages: runs the delivery policy of `hatchline` on real sockets, between
+//! clients, endpoints and discovery.
 #![warn(missing_docs)]
 
 mod admin_server;
@@ -32,6 +32,7 @@
 use std::process::{Command, ExitCode};
 use tokio::signal::unix::{signal, SignalKind};
 
+/// Installs the signal handlers and runs the node.
 async fn run(config: Config) -> Result<Rest, String> {
     let (node_events, receiver) = events::channel();
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
@@ -56,11 +57,13 @@
     result.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
-/// Tasks that the runtime polls at most between two looks at the node and at the sockets and timers. Each of them is some
-/// 0.1 ms of work: with a hundredth of a core the node comes after less than 100 ms, and the look costs a hundredth of that.
+/// Upper bound on the tasks that the runtime polls before it checks the node, sockets and timers again. One
+/// task takes about 0.1 ms: with 1 % of a core the node runs again within 100 ms, and the checks cost about 1
+/// % of that time.
 const TASK_POLLS_PER_EVENT_CHECK: u32 = 8;
 
-/// The successor has ended, and with it the owner of the log: this process starts as after a restart.
+/// Replaces this process by a fresh start from the write-ahead log. Called when the successor, which owned
+/// the log, has ended.
 fn restart_process() -> ExitCode {
     eprintln!("foldtrack: the new version has ended; starting anew from the log");
     let error = match std::env::current_exe() {
@@ -73,7 +76,7 @@
 
 fn main() -> ExitCode {
     let result = Config::load().and_then(|config| {
-        // One thread: the forwarder has one core.
+        // A single thread, since the forwarder is given one core.
         let mut runtime = tokio::runtime::Builder::new_current_thread();
         let runtime = runtime.enable_all().event_interval(TASK_POLLS_PER_EVENT_CHECK).build();
         runtime.map_err(|e| e.to_string())?.block_on(run(config))
--- a/src/bin/foldtrack/metrics.rs
+++ b/src/bin/foldtrack/metrics.rs
@@ -1,21 +1,21 @@
-//! What the forwarder reports of itself: counts since the process started, each raised where the thing that it
-//! counts happens, and the text of them.
+//! The metrics that operators read: counters since the start of the process, and their text form.
 
 use hatchline::Pool;
 use std::fmt::Write;
 
-/// How a message ended. Each ends in exactly one of these.
+/// Final result of a message. Each message has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageResult {
     /// Delivered.
     Ok,
-    /// Refused, or handed back: to hand it in again is harmless.
+    /// Refused or handed back: the client may safely submit it again.
     Shed,
     /// Failed.
     Error,
 }
 
 #[derive(Debug, Default)]
+/// Counters of one class of message.
 struct ClassCounters {
     name: String,
     ok: u64,
@@ -24,7 +24,7 @@
     tries: u64,
 }
 
-/// The counts, by class of message.
+/// Counters by class of message.
 #[derive(Debug)]
 pub(crate) struct Metrics(Vec<ClassCounters>);
 
@@ -38,7 +38,7 @@
         )
     }
 
-    /// A message is over. One of a class that the settings no longer name is in no line of the text.
+    /// Counts the end of a message. A class that the settings no longer name is not counted.
     pub fn record_result(&mut self, class: usize, result: MessageResult) {
         let Some(class) = self.0.get_mut(class) else { return };
         match result {
@@ -48,14 +48,14 @@
         }
     }
 
-    /// A message has been written whole to an endpoint.
+    /// Counts a message that has been written whole to an endpoint.
     pub fn record_attempt(&mut self, class: usize) {
         if let Some(class) = self.0.get_mut(class) {
             class.tries += 1;
         }
     }
 
-    /// The figures, a line each; `active` messages are taken and not yet ended.
+    /// Renders all metrics, one a line; `active` messages are accepted and not yet ended.
     pub fn render(&self, active: usize, pool: Pool) -> String {
         let mut text = String::new();
         for ClassCounters { name, ok, shed, errors, tries } in &self.0 {
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -1,5 +1,6 @@
-//! The loop that owns all state: the module, the messages and the journal. What sockets and timers tell
-//! comes in as [`NodeEvent`]s; what the module decides goes out, in its order.
+//! The node: the event loop that owns all state of a forwarder, that is, the delivery policy, the accepted
+//! messages and the write-ahead log. Connections, timers and signals report to it as [`NodeEvent`]s; it
+//! executes the actions of the policy in the order given. One iteration of the loop is called a round.
 
 use crate::admin_server;
 use crate::admission::AdmissionLimiter;
@@ -45,71 +46,81 @@
 
 mod succession;
 
-/// Inputs that one round takes in at most.
+/// Upper bound on the events that one round handles.
 const MAX_EVENTS_PER_ROUND: usize = 1024;
-/// After SIGTERM: how long connections are still accepted, and by when the process has ended.
+/// After SIGTERM: how long new connections are still accepted, and how long until the process exits at the
+/// latest.
 const ACCEPT_AFTER_TERMINATE: Duration = Duration::from_millis(500);
 const TERMINATE_TIMEOUT: Duration = Duration::from_millis(3300);
-/// Notices in one report.
 const MAX_NOTICES_PER_REPORT: usize = 64;
-/// A send that has waited for longer than this is decided anew.
+/// A send that has been pending for longer than this is returned to the policy, which decides again.
 const MAX_PENDING_SEND_AGE: Micros = 50_000;
-/// The runtime's timers come up to 2 ms late, by their own step and that of the wait below them; the rest is for the end
-/// to be written. What is handed back once its time is over, by whatever little, is no answer.
+/// Upper bound on the delay of a timer: the runtime's timers fire up to 2 ms late, by their own granularity
+/// and that of the system call that waits; the rest leaves time to write the result. A message that is handed
+/// back after its deadline, however shortly, counts as unanswered.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(3);
-/// How long the start waits for the list.
+/// How long startup waits for the first endpoint list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval of the periodic maintenance, which closes expired idle connections and prints the interval log
+/// line.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far the client has been told that its message is taken on.
+/// How far the acceptance of a message has come.
 enum Acceptance {
-    /// Not at all: the module may refuse it yet.
+    /// The client has no response yet, and the policy may still refuse the message.
     Undecided(oneshot::Sender<SubmitResponse>),
-    /// The answer is on its way.
+    /// The response is being written.
     Responding,
-    /// Told.
+    /// The response has been written.
     Accepted,
 }
 
-/// A send that the module has decided on.
+/// A send that the policy has decided on and that has not been started.
 struct PendingSend {
+    /// Number of the attempt, from 0.
     attempt: u32,
     target: TargetId,
+    /// When the attempt times out.
     until: Micros,
     decided_at: Micros,
 }
 
+/// A message that is held until it is delivered or ends undelivered.
 struct HeldMessage {
     message: Arc<Message>,
     acceptance: Acceptance,
+    /// Attempts that the policy has decided on so far.
     attempts: u32,
-    /// A send that the module has decided on, but that must not go yet: see [`Node::send`].
+    /// A send that the policy has decided on but that may not start yet: see [`Node::start_pending_send`].
     pending_send: Option<PendingSend>,
 }
 
-/// A message that ends by a notice; it is over once that is answered.
+/// A message that ended undelivered. It is complete once discovery has acknowledged its notice.
 struct PendingNotice {
     id: String,
     order_key: u64,
     notice: Notice,
 }
 
-/// A call that is out.
+/// A call in flight.
 struct InFlightCall {
     target: TargetId,
-    /// What calls it off, unless it has been.
+    /// Cancels the call; `None` once used.
     cancel: Option<oneshot::Sender<()>>,
-    /// It stands in the journal: from then on it may have run.
+    /// The start of the attempt has been recorded: from then on it may have run.
     started: bool,
 }
 
+/// An endpoint that a list has named since the start of the process.
 struct KnownEndpoint {
     address: SocketAddr,
     zone: u32,
-    /// Grows when an operator takes it out or puts it back: connections of an older one are not used again.
+    /// Counts the changes of its state by operators (disabled, enabled): connections of an older generation
+    /// are not reused.
     generation: u32,
 }
 
+/// State of the node.
 struct Node {
     clock: Clock,
     policy: DeliveryPolicy,
@@ -118,15 +129,16 @@
     events: EventSender,
     discovery: watch::Sender<SocketAddr>,
     next_number: u64,
-    /// What is taken on, or may be, by number in the order of arrival.
+    /// Messages that are accepted or may still be, by message number. Numbers grow in the order of arrival.
     messages: BTreeMap<u64, HeldMessage>,
-    /// Those of this round whose clients wait for an answer.
+    /// Messages submitted in this round whose clients still wait for a response.
     undecided: Vec<u64>,
-    /// Ends that the platform has not taken yet, and which of them are to be sent now.
+    /// Undelivered messages whose notices are not acknowledged yet, and those of them that are to be sent
+    /// now.
     pending_notices: BTreeMap<u64, PendingNotice>,
     unsent_notices: BTreeSet<u64>,
     report_client: ReportClient,
-    /// By message and attempt.
+    /// By message number and attempt.
     calls: BTreeMap<(u64, u32), InFlightCall>,
     idle_connections: IdleConnections,
     last_maintenance: Instant,
@@ -135,14 +147,14 @@
     metrics: Metrics,
     taken_out: TakenOut,
     last_list: LastList,
-    /// Clients are accepted.
+    /// Whether client connections are accepted.
     accepting: bool,
     target_ids: HashMap<String, TargetId>,
     endpoints: Vec<KnownEndpoint>,
     timers: BTreeSet<(Micros, u32)>,
     stage: watch::Sender<LifecycleStage>,
     terminated_at: Option<Instant>,
-    /// Who owns all this, and what clients are accepted from, to be handed to a successor.
+    /// The lock of the write-ahead log and the listener for clients, which a successor takes over.
     lock: Option<Lock>,
     listener: Option<OwnedFd>,
     successor: Option<UnixStream>,
@@ -151,8 +163,8 @@
     actions: Vec<Action>,
 }
 
-/// Takes over from the process that runs, or restores what the journal holds; then serves until it is told to end,
-/// or has handed over and has nothing left to do.
+/// Takes over from a running process, or restores the state from the write-ahead log. Then runs the loop
+/// until the process is told to end or has handed over to a successor and has nothing left to do.
 pub(crate) async fn run(
     config: Config, events: EventSender, mut receiver: UnboundedReceiver<NodeEvent>,
 ) -> io::Result<Rest> {
@@ -176,8 +188,8 @@
     let listener = match listener {
         Some(listener) => TcpListener::from_std(listener)?,
         None => {
-            // What the configuration knows may be old: a target that this forwarder was told of as drained, before
-            // it restarted, would get what it held. The agent answers at once, or discovery is down.
+            // The configured list may be outdated: restored messages could be sent to an endpoint that had
+            // been draining before the restart. Discovery responds at once unless it is down.
             if let Ok(Some(first)) = timeout(FIRST_LIST_TIMEOUT, receiver.recv()).await {
                 batch.push(first);
             }
@@ -212,7 +224,7 @@
         let wake = node.next_wake();
         tokio::select! {
             biased;
-            // First, since this writes what the round has decided.
+            // Polled first, since this writes the notices that the round has issued.
             numbers = node.report_client.taken() => batch.push(NodeEvent::NoticesAcknowledged { numbers }),
             _ = receiver.recv_many(&mut batch, MAX_EVENTS_PER_ROUND) => {}
             () = sleep_until(wake) => {}
@@ -268,7 +280,7 @@
         Ok((node, restored))
     }
 
-    /// Goes on from what the journal holds.
+    /// Restores the state from the write-ahead log.
     fn restored(config: &Config, events: &EventSender, lock: Lock) -> io::Result<Node> {
         let clock = Clock::new();
         let policy = DeliveryPolicy::new(clock.now(), config.seed, config.settings.settings.clone());
@@ -284,7 +296,7 @@
 }
 
 impl Node {
-    /// Takes in all that has happened, lets the module decide once, and carries out what it says.
+    /// Handles all events of this round, lets the policy decide once, and executes its actions.
     fn run_round(&mut self, batch: &mut Vec<NodeEvent>) {
         let round_started = self.clock.now();
         self.notify_policy(Event::Late {
@@ -350,7 +362,7 @@
                 let _ = proceed.send(may_go && self.log_attempt_start(number, attempt));
             }
             NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
-            // One that nobody awaits any more has been answered no.
+            // The admin server has stopped waiting and has responded with 503.
             NodeEvent::Admin { reply, .. } if reply.is_closed() => {}
             NodeEvent::Admin { request, reply } => {
                 let _ = reply.send(self.handle_admin_request(request));
@@ -371,6 +383,7 @@
         }
     }
 
+    /// Passes an endpoint list on to the policy, with target ids for its endpoints.
     fn update_endpoints(&mut self, list: ServerList, kind: ListKind) {
         let index_of = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u32::MAX, |at| at as u32)
@@ -422,7 +435,8 @@
         }
     }
 
-    /// Takes an endpoint out, or puts it back; the yes means that this outlasts the process.
+    /// Disables or enables an endpoint. Success means that the state has been persisted and outlasts the
+    /// process.
     fn set_disabled(&mut self, name: &str, disabled: bool) -> AdminResponse {
         let target = self.target_ids.get(name).copied();
         let was_disabled = self.taken_out.contains(name);
@@ -442,7 +456,7 @@
         AdminResponse::new(StatusCode::OK, format!("{name} is {state}\n"))
     }
 
-    /// Takes over what the journal holds of a message.
+    /// Restores one message from the write-ahead log.
     fn restore(&mut self, number: u64, restored: Restored) {
         let Restored { accepted, attempts, notice } = restored;
         if let Some(notice) = notice {
@@ -463,7 +477,7 @@
         self.recovery_stats.record_restored(expires, held.attempts);
         self.messages.insert(number, held);
         if class >= self.settings.class_names.len() {
-            // The settings have changed since: nothing can be promised.
+            // The settings have changed since and no longer name its class, so its guarantees are unknown.
             return self.end_undelivered(number, Notice::GivenUp);
         }
         let first = attempts.iter().find(|attempt| attempt.fate != Some(Fate::NeverRan));
@@ -516,7 +530,8 @@
         self.notify_policy(event);
     }
 
-    /// Takes on what the module has not refused: first the journal, then the answer.
+    /// Accepts the submitted messages that the policy has not refused. Each is recorded in the write-ahead
+    /// log before the response is sent.
     fn respond_to_clients(&mut self) {
         for number in std::mem::take(&mut self.undecided) {
             let Some(held) = self.messages.get_mut(&number) else { continue };
@@ -533,12 +548,13 @@
                 continue;
             }
             let receipt = ResponseGuard::new(number, self.events.clone());
-            // If the client has gone, the receipt is dropped here and says so.
+            // If the client has disconnected, the guard is dropped here and reports that.
             let _ = reply.send(SubmitResponse::Accepted(receipt));
         }
     }
 
-    /// The client has its answer, and the message may go; or it has gone before, and nothing is taken on.
+    /// Handles the end of a client's response. If it was written, the message is accepted and may be sent; if
+    /// the client disconnected first, the message is discarded.
     fn response_ended(&mut self, number: u64, written: bool) {
         if !written {
             self.interval_stats.clients_gone += 1;
@@ -553,7 +569,7 @@
         self.start_pending_send(number);
     }
 
-    /// Forgets a message that was not taken on after all.
+    /// Discards a message that was not accepted in the end.
     fn discard_unaccepted(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         self.metrics.record_result(held.message.class, MessageResult::Shed);
@@ -574,7 +590,7 @@
             }
             Action::Cancel { id, attempt } => {
                 if let Some(call) = self.calls.get_mut(&(id, attempt)) {
-                    // A call that has just ended tells its own end.
+                    // A call that has just ended reports its own outcome.
                     let _ = call.cancel.take().map(|cancel| cancel.send(()));
                 } else if let Some(PendingSend { target, .. }) =
                     self.messages.get_mut(&id).and_then(|held| held.pending_send.take())
@@ -589,13 +605,15 @@
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             Action::CloseIdle { target } => self.idle_connections.close(target),
             Action::Log { text } => eprintln!("{text}"),
-            // The list is watched all the time; probes and talk are not for this kind of deployment.
+            // The discovery client watches the list all the time; this deployment has no probes and no
+            // messages between replicas.
             Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
         }
     }
 
-    /// Starts the call that the module has decided on, unless it has to wait: for the client to be told that the
-    /// message is taken on, or for the notice that ends an earlier message of its key, which is over only then.
+    /// Starts a pending send unless it has to wait: either until the client's response has been written, or
+    /// until the notice of an earlier message with the same order key is acknowledged, as that message is not
+    /// complete before.
     fn start_pending_send(&mut self, number: u64) {
         let Some(held) =
             self.messages.get_mut(&number).filter(|held| matches!(held.acceptance, Acceptance::Accepted))
@@ -609,15 +627,16 @@
         let Some(PendingSend { attempt, target, until, decided_at }) = held.pending_send.take() else {
             return;
         };
-        // What was decided long ago may go against a drain or a wait told since: the module decides anew.
+        // A decision this old may conflict with a drain or a retry-after received since: the policy decides
+        // again.
         if self.clock.now() > decided_at + MAX_PENDING_SEND_AGE {
             return self.notify_outcome(number, attempt, target, Outcome::NotSent, false);
         }
         self.start_call(number, attempt, target, until);
     }
 
-    /// Guards against a notice that the platform is slow to take: a send that waits for it past its time would
-    /// have no outcome, and its message no end.
+    /// Returns pending sends whose time is over to the policy. A send that waits for the acknowledgement of a
+    /// slow notice would otherwise have no outcome, and its message would never end.
     fn expire_pending_sends(&mut self) {
         if self.pending_notices.is_empty() {
             return;
@@ -632,7 +651,7 @@
         }
     }
 
-    /// Notes in the journal, before its first byte goes out, that a call may run from now on.
+    /// Records the start of an attempt before its first byte is sent: from then on it may have run.
     fn log_attempt_start(&mut self, number: u64, attempt: u32) -> bool {
         let Some(call) = self.calls.get_mut(&(number, attempt)) else { return false };
         let zone = self.endpoints[call.target as usize].zone;
@@ -644,7 +663,8 @@
         call.started
     }
 
-    /// Starts a call. Where its connection has to come up yet, it begins only then.
+    /// Starts a call. On a new connection, the start of the attempt is recorded only once the connection is
+    /// established.
     fn start_call(&mut self, number: u64, attempt: u32, target: TargetId, until: Micros) {
         let Some(held) = self.messages.get(&number) else { return };
         let message = held.message.clone();
@@ -715,20 +735,21 @@
             outcome: end.outcome,
             took: now.saturating_sub(self.clock.micros(end.started_at)),
             ended: end.completes_message || !held,
-            // A wait runs from the answer's arrival, not from now.
+            // The wait counts from the arrival of the response, not from now.
             wait: end.wait_until.map_or(0, |until| self.clock.micros(until).saturating_sub(now)),
             report: end.limit_report,
         });
     }
 
-    /// Writes what a restart can do without: lacking it, more counts as perhaps run than has.
+    /// Appends a record that a restart can do without. If it is missing, a restart assumes that an attempt
+    /// may have run where it did not.
     fn append_record(&mut self, number: u64, record: &Record) {
         if let Err(error) = self.journal.append(number, record) {
             eprintln!("journal: {error}");
         }
     }
 
-    /// Ends a message: in the answer to its client, if that still waits for one, else by a notice.
+    /// Ends a message undelivered: by the response to its client if that is still due, otherwise by a notice.
     fn end_undelivered(&mut self, number: u64, notice: Notice) {
         let Some(held) = self.messages.remove(&number) else { return };
         let class = held.message.class;
@@ -774,7 +795,8 @@
         }
     }
 
-    /// The platform has taken these notices: their messages are over.
+    /// Completes the messages whose notices discovery has acknowledged, and starts the sends that waited for
+    /// that.
     fn notices_acknowledged(&mut self, numbers: Vec<u64>) {
         for number in numbers {
             self.append_record(number, &Record::Over);
@@ -787,18 +809,18 @@
         }
     }
 
-    /// The steps to the end of a process that was told to end.
+    /// Moves a process that was told to end to the next stage of its shutdown.
     fn advance_shutdown(&mut self) {
         let closing = self.terminated_at.is_some_and(|at| at.elapsed() >= ACCEPT_AFTER_TERMINATE);
         if closing && *self.stage.borrow() == LifecycleStage::Draining {
             self.stage.send_replace(LifecycleStage::Closing);
-            // Else it would take connections that nobody accepts.
+            // While it is open, the kernel would queue connections that nobody accepts.
             self.listener = None;
         }
     }
 
-    /// Whether the process may end: nothing is left to do, also for clients whose connections are open or have come to a
-    /// listener that accepts no more.
+    /// Whether the process may exit: no message, call or notice is left, no client connection is open, and
+    /// none is waiting at a listener that no longer accepts.
     fn may_exit(&self, accept_loop_ended: bool) -> bool {
         let Some(at) = self.terminated_at else { return false };
         let idle = self.calls.is_empty() && self.messages.is_empty() && self.pending_notices.is_empty();
--- a/src/bin/foldtrack/overload.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -1,32 +1,36 @@
-//! Whether the process has been short of processor time of late.
+//! Detects overload by the lag of the event loop: how long its turns have taken recently. A turn is one pass
+//! of the event loop over all tasks that are ready.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// A turn of the loop that is so late counts. A client waits 400 ms for its answer, and four turns lead there (accepted,
-/// read, decided, written): at twice this its time is over.
+/// A turn longer than this counts as overload. A client waits 400 ms for its response, which takes four turns
+/// (accept, read, decide, write): with turns of twice this length it is too late.
 const LATE_TURN: Duration = Duration::from_millis(50);
-/// How long one such turn counts.
+/// How long a late turn counts, and the time constant of the mean.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
+/// The measurements, behind the lock.
 struct State {
-    /// Until when a late turn counts.
+    /// End of the overload caused by the last late turn.
     overloaded_until: Option<Instant>,
-    /// When the turn that is being measured began.
+    /// Start of the turn that is being measured.
     turn_started_at: Option<Instant>,
-    /// The longest turn since then, and of about [`OVERLOAD_WINDOW`] before.
+    /// Start of the current window, and the longest turns of it and of the window before. A window lasts
+    /// [`OVERLOAD_WINDOW`].
     window_started_at: Option<Instant>,
     longest_in_window: Duration,
     longest_in_previous_window: Duration,
-    /// The mean turn over about the last [`OVERLOAD_WINDOW`], and when it was that.
+    /// Mean turn time in seconds over about the last [`OVERLOAD_WINDOW`], and when it was updated.
     mean_turn: f64,
     mean_updated_at: Option<Instant>,
 }
 
 impl State {
+    /// Starts a new window if the current one is over.
     fn rotate_windows(&mut self) {
         let now = Instant::now();
         let since = *self.window_started_at.get_or_insert(now);
@@ -37,7 +41,8 @@
         }
     }
 
-    /// Each turn counts by the time that it took, and time without turns is time with none that was late.
+    /// Exponentially weighted: each turn counts by the time that it took, and time without turns counts as
+    /// turns of length zero.
     fn update_mean(&mut self, took: Duration) {
         let now = Instant::now();
         let since = self.mean_updated_at.replace(now).map_or(OVERLOAD_WINDOW, |at| now - at);
@@ -47,17 +52,17 @@
     }
 }
 
-/// Shared by the loop, which notes how late it comes, and those who do less then.
+/// Shared by the node, which records the delays, and those who reduce their work under overload.
 #[derive(Clone, Default)]
 pub(crate) struct OverloadMonitor(Arc<Mutex<State>>);
 
 impl OverloadMonitor {
     fn state(&self) -> MutexGuard<'_, State> {
-        // What a panic elsewhere leaves half done is some late turn forgotten.
+        // A panic elsewhere loses at most a late turn.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A turn came, or took, so much longer than it should have.
+    /// Records that a turn came, or ended, this much too late.
     pub fn record_delay(&self, late: Duration) {
         if late > LATE_TURN {
             self.state().overloaded_until = Some(Instant::now() + OVERLOAD_WINDOW);
@@ -68,7 +73,8 @@
         self.state().overloaded_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Measures a turn of the runtime, from now until all has run that is ready by then; one at a time.
+    /// Measures one turn of the event loop, from now until all tasks that are ready have run. Only one
+    /// measurement runs at a time.
     pub fn measure_turn(&self) {
         let begun = Instant::now();
         {
@@ -80,7 +86,7 @@
         }
         let monitor = self.clone();
         tokio::spawn(async move {
-            // Behind what is ready now, and behind what has come to the sockets meanwhile.
+            // Runs after the tasks that are ready now and those whose sockets became ready meanwhile.
             yield_now().await;
             monitor.end_turn();
         });
@@ -98,14 +104,15 @@
         self.record_delay(took);
     }
 
-    /// How long turns have taken of late.
+    /// Mean time that turns have taken recently.
     pub fn mean_turn_time(&self) -> Duration {
         let mut state = self.state();
         state.update_mean(Duration::ZERO);
         Duration::from_secs_f64(state.mean_turn)
     }
 
-    /// The longest turn of the last one or two [`OVERLOAD_WINDOW`]: what is decided now may be carried out so late.
+    /// The longest turn of the current and the previous window: what is decided now may be executed this
+    /// late.
     pub fn event_loop_lag(&self) -> Duration {
         let mut state = self.state();
         state.rotate_windows();
@@ -115,7 +122,7 @@
 
 #[cfg(test)]
 impl OverloadMonitor {
-    /// Strain for as long as a test runs.
+    /// Overloaded for as long as any test runs.
     pub fn always_overloaded() -> OverloadMonitor {
         let monitor = OverloadMonitor::default();
         monitor.state().overloaded_until = Some(Instant::now() + Duration::from_secs(3600));
@@ -155,7 +162,7 @@
         assert_eq!(monitor.event_loop_lag(), Duration::ZERO);
     }
 
-    /// One late turn is soon forgotten, many are not.
+    /// A single late turn moves the mean little, many of them do.
     #[tokio::test(start_paused = true)]
     async fn mean_turn_time_covers_about_the_last_second() {
         let monitor = OverloadMonitor::default();
--- a/src/bin/foldtrack/streams.rs
+++ b/src/bin/foldtrack/streams.rs
@@ -1,5 +1,5 @@
-//! What stands between a socket and the HTTP library: a tap that lets on what passes, and the end of a connection that
-//! has been answered.
+//! Helpers between a socket and the HTTP library: a stream wrapper with an observer, and the lingering close
+//! of a connection.
 
 use std::io;
 use std::pin::Pin;
@@ -8,22 +8,25 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::time::timeout;
 
-/// What a peer sends beyond its answer is read for so long and so far: to close a socket with unread bytes resets the
-/// connection, which may take back an answer that is still on its way.
+/// Limits on the time and the bytes of a lingering close. Closing a socket with unread bytes resets the
+/// connection, which can discard a response that is still in transit.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 
-/// Hears what passes through a [`ObservedStream`] stream. The HTTP library flushes a stream once it has written what it holds.
+/// Observes the reads and flushes of an [`ObservedStream`]. The HTTP library flushes a stream once it has
+/// written all that it holds.
 pub(crate) trait StreamObserver<S> {
     /// Whether the stream may be read now.
     fn poll_read_allowed(&mut self, _stream: &S, _cx: &mut Context) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
+    /// Called with the bytes of each read.
     fn on_read(&mut self, _bytes: &[u8]) {}
+    /// Called after each completed flush.
     fn on_flush(&mut self, _stream: &S, _cx: &mut Context) {}
 }
 
-/// A stream that is listened in on.
+/// A stream with an observer.
 pub(crate) struct ObservedStream<S, T> {
     pub stream: S,
     pub observer: T,
@@ -67,7 +70,7 @@
     }
 }
 
-/// Closes a connection without taking back what was last written to it.
+/// Closes a connection after reading what the peer still sends, so that the last response is not lost.
 pub(crate) async fn lingering_close(mut stream: impl AsyncRead + AsyncWrite + Unpin) {
     if stream.shutdown().await.is_err() {
         return;
