--- a/src/bin/foldtrack/admission.rs
+++ b/src/bin/foldtrack/admission.rs
@@ -141,7 +141,7 @@
     }
 
     #[tokio::test]
-    async fn each_turn_admits_a_few_alternating_oldest_and_newest() {
+    async fn turns_admit_oldest_and_newest_alternately() {
         let limiter = AdmissionLimiter::new(2);
         let mut waiters: Vec<_> = (0..8).map(|_| AdmissionWaiter::new(&limiter)).collect();
         let mut admitted = Vec::new();
@@ -171,7 +171,7 @@
     }
 
     #[tokio::test]
-    async fn a_dropped_waiter_takes_no_slot_and_an_idle_limiter_ends_its_task() {
+    async fn dropped_waiter_uses_no_admission_and_idle_limiter_stops() {
         let limiter = AdmissionLimiter::new(1);
         let mut waiters: Vec<_> = (0..3).map(|_| AdmissionWaiter::new(&limiter)).collect();
         poll_all(&mut waiters, &mut Vec::new());
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -158,7 +158,7 @@
 /// Sets the length of the listener's accept queue.
 fn set_backlog(listener: &TcpListener, count: u32) {
     if let Err(error) = listen(listener, i32::try_from(count).unwrap_or(i32::MAX)) {
-        eprintln!("clients: {count} cannot wait to be accepted: {error}");
+        eprintln!("clients: cannot set the accept backlog to {count}: {error}");
     }
 }
 
--- a/src/bin/foldtrack/client_server_tests.rs
+++ b/src/bin/foldtrack/client_server_tests.rs
@@ -65,32 +65,35 @@
     buffer_bytes: usize, connections: &ConnectionLimit,
 ) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
     let (peer, server_side) = duplex(buffer_bytes);
-    let (stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (stage, stage_receiver) = watch::channel(LifecycleStage::Serving);
     let (events, receiver) = events::channel();
-    let permit = connections.acquire().await.expect("a place");
-    let context = context(seen, events);
+    let permit = connections.acquire().await.expect("a permit");
+    let context = context(stage_receiver, events);
     tokio::spawn(serve_client(server_side, context, permit, Duration::ZERO));
     (peer, stage, receiver)
 }
 
 /// Reads until the connection is closed; returns the data and the time that it took.
-async fn until_closed(peer: &mut DuplexStream) -> (String, Duration) {
+async fn read_until_closed(peer: &mut DuplexStream) -> (String, Duration) {
     let start = Instant::now();
-    let mut answer = Vec::new();
-    timeout(100 * CLOSE_DEADLINE, peer.read_to_end(&mut answer)).await.expect("the connection ends").unwrap();
-    (String::from_utf8(answer).unwrap(), start.elapsed())
+    let mut response = Vec::new();
+    timeout(100 * CLOSE_DEADLINE, peer.read_to_end(&mut response))
+        .await
+        .expect("the connection is closed")
+        .unwrap();
+    (String::from_utf8(response).unwrap(), start.elapsed())
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_sends_nothing_is_closed_in_time() {
+async fn silent_peer_is_closed_in_time() {
     let (mut peer, _stage) = connect().await;
-    let (_, took) = until_closed(&mut peer).await;
+    let (_, took) = read_until_closed(&mut peer).await;
     assert!(took < CLOSE_DEADLINE, "closed after {took:?}");
-    assert!(took >= Duration::from_secs(2), "an idle client is owed 2 s, closed after {took:?}");
+    assert!(took >= Duration::from_secs(2), "an idle client must be kept for 2 s, closed after {took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_never_ends_its_head_is_closed_in_time() {
+async fn peer_with_endless_head_is_closed_in_time() {
     let (mut peer, _stage) = connect().await;
     let start = Instant::now();
     peer.write_all(b"POST /note HTTP/1.1\r\nHost: x\r\n").await.unwrap();
@@ -106,7 +109,7 @@
 
 /// The head may take nearly all of its time; the body must not extend the limit.
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_never_ends_its_body_is_answered_in_time() {
+async fn peer_with_incomplete_body_gets_a_response_in_time() {
     let (mut peer, _stage) = connect().await;
     let head = "POST /note HTTP/1.1\r\nHost: x\r\nX-Request-Id: m\r\nX-Deadline: 9000m\r\n\
                 X-Consignee: dest=1\r\nContent-Length: 100\r\n";
@@ -114,57 +117,57 @@
     let head_time = HEAD_TIMEOUT - Duration::from_millis(100);
     sleep(head_time).await;
     peer.write_all(b"\r\nhalf").await.unwrap();
-    let (answer, took) = until_closed(&mut peer).await;
-    assert!(answer.starts_with("HTTP/1.1 4"), "{answer}");
-    assert!(head_time + took < CLOSE_DEADLINE, "answered and closed after {:?}", head_time + took);
+    let (response, took) = read_until_closed(&mut peer).await;
+    assert!(response.starts_with("HTTP/1.1 4"), "{response}");
+    assert!(head_time + took < CLOSE_DEADLINE, "closed after {:?}", head_time + took);
 }
 
 /// Guards against deadlines that count from when a request is read: under overload it waits in queues before,
 /// and its message ended, with its notice, too late by that time.
 #[tokio::test(start_paused = true)]
-async fn a_messages_time_counts_from_before_its_wait_to_be_read() {
+async fn deadline_counts_from_before_the_wait_to_be_read() {
     let (mut client, server_side) = duplex(1024);
-    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (_stage, stage_receiver) = watch::channel(LifecycleStage::Serving);
     let (events, mut receiver) = events::channel();
     let (context, permit) =
-        (context(seen, events), ConnectionLimit::new(1).acquire().await.expect("a place"));
+        (context(stage_receiver, events), ConnectionLimit::new(1).acquire().await.expect("a permit"));
     let now = context.clock.now();
     tokio::spawn(serve_client(server_side, context, permit, Duration::from_millis(300)));
-    for queued in [300_000, 0] {
+    for queue_time in [300_000, 0] {
         client.write_all(REQUEST).await.unwrap();
         let Some(NodeEvent::Submit { message, reply }) = receiver.recv().await else {
-            panic!("not handed in")
+            panic!("no message was submitted")
         };
-        assert_eq!(message.expires, now - queued + 9_000_000, "only the first was queued");
+        assert_eq!(message.expires, now - queue_time + 9_000_000, "only the first waited in the queue");
         drop(reply);
-        client.read_exact(&mut [0; 12]).await.expect("an answer");
+        client.read_exact(&mut [0; 12]).await.expect("a response");
     }
 }
 
 /// Guards against silent peers that occupy all connections and keep clients waiting to be accepted.
 #[tokio::test(start_paused = true)]
-async fn silent_peers_make_room_but_a_client_that_has_handed_in_does_not() {
+async fn silent_peers_are_evicted_but_active_clients_are_not() {
     let connections = ConnectionLimit::new(3);
-    let mut taken = Vec::new();
+    let mut peers = Vec::new();
     for _ in 0..3 {
-        taken.push(connect_with_limit(&connections).await);
+        peers.push(connect_with_limit(&connections).await);
     }
-    let (client, _, events) = &mut taken[0];
+    let (client, _, events) = &mut peers[0];
     client.write_all(REQUEST).await.unwrap();
     let submitted = events.recv().await;
     assert!(matches!(submitted, Some(NodeEvent::Submit { .. })));
     let start = Instant::now();
     let _first = connections.acquire().await;
-    assert!(start.elapsed() < Duration::from_millis(100), "waited {:?} for a place", start.elapsed());
-    let (_, took) = until_closed(&mut taken[1].0).await;
-    assert!(took.is_zero(), "the peer that was silent longest stayed for {took:?}");
+    assert!(start.elapsed() < Duration::from_millis(100), "waited {:?} for a permit", start.elapsed());
+    let (_, took) = read_until_closed(&mut peers[1].0).await;
+    assert!(took.is_zero(), "the peer that was silent for longest stayed for {took:?}");
     let _second = connections.acquire().await;
-    let (_, took) = until_closed(&mut taken[2].0).await;
+    let (_, took) = read_until_closed(&mut peers[2].0).await;
     assert!(took.is_zero(), "the other silent peer stayed for {took:?}");
     drop(submitted);
-    let mut answer = [0; 12];
-    taken[0].0.read_exact(&mut answer).await.expect("the client has its answer");
-    assert_eq!(&answer, b"HTTP/1.1 503");
+    let mut response = [0; 12];
+    peers[0].0.read_exact(&mut response).await.expect("the client has its response");
+    assert_eq!(&response, b"HTTP/1.1 503");
 }
 
 /// Accepts the next submitted message, as the node does.
@@ -174,14 +177,14 @@
             let (node_events, _) = events::channel();
             let _ = reply.send(SubmitResponse::Accepted(ResponseGuard::new(1, node_events)));
         }
-        _ => panic!("nothing was handed in"),
+        _ => panic!("no message was submitted"),
     }
 }
 
 /// At the limit, a silent connection is evicted. One whose request has arrived whole by then is active: it
 /// has its response, and the next candidate is evicted in its place.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_is_whole_when_its_connection_is_to_make_room_has_its_answer() {
+async fn whole_request_gets_its_response_despite_eviction() {
     let connections = ConnectionLimit::new(2);
     let (mut client, _stage, mut events) = connect_with_limit(&connections).await;
     let (mut silent, _silent_stage, _silent_events) = connect_with_limit(&connections).await;
@@ -189,46 +192,46 @@
     // No task has run since: the oldest candidate is evicted before its request is read.
     let (next, ()) = tokio::join!(connections.acquire(), accept_submission(&mut events));
     assert!(next.is_some());
-    let mut answer = [0; 12];
-    client.read_exact(&mut answer).await.expect("the client has its answer");
-    assert_eq!(&answer, b"HTTP/1.1 202");
-    let (_, took) = until_closed(&mut silent).await;
+    let mut response = [0; 12];
+    client.read_exact(&mut response).await.expect("the client has its response");
+    assert_eq!(&response, b"HTTP/1.1 202");
+    let (_, took) = read_until_closed(&mut silent).await;
     assert!(took.is_zero(), "the silent peer stayed for {took:?}");
 }
 
 /// A message may be sent once its client can have received the response, and not before.
 #[tokio::test(start_paused = true)]
-async fn a_message_counts_as_taken_on_once_its_answer_is_written_whole() {
+async fn message_is_accepted_once_its_response_is_written_whole() {
     for client_leaves in [false, true] {
         // The network buffers only a part of the response.
         let (mut client, _stage, mut events) = connect_with_buffer(32, &ConnectionLimit::new(1)).await;
         client.write_all(REQUEST).await.unwrap();
-        let (node_events, mut told) = events::channel();
+        let (node_events, mut guard_events) = events::channel();
         let Some(NodeEvent::Submit { reply, .. }) = events.recv().await else {
-            panic!("nothing was handed in")
+            panic!("no message was submitted")
         };
         let _ = reply.send(SubmitResponse::Accepted(ResponseGuard::new(7, node_events)));
         sleep(Duration::from_millis(50)).await;
-        assert!(told.try_recv().is_err(), "told before the answer was written");
+        assert!(guard_events.try_recv().is_err(), "reported before the response was written");
         if client_leaves {
             drop(client);
         } else {
-            client.read_exact(&mut [0; 64]).await.expect("the answer");
+            client.read_exact(&mut [0; 64]).await.expect("the response");
         }
-        match told.recv().await {
+        match guard_events.recv().await {
             Some(NodeEvent::ResponseEnded { number: 7, written }) => assert_eq!(written, !client_leaves),
-            _ => panic!("not told"),
+            _ => panic!("the end of the response was not reported"),
         }
     }
 }
 
 /// A request that has partly arrived on a kept connection when the process is about to end gets its response.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_comes_in_pieces_while_connections_close_has_its_answer() {
+async fn partial_request_gets_its_response_while_connections_close() {
     let (mut client, stage, mut events) = connect_with_limit(&ConnectionLimit::new(1)).await;
     client.write_all(REQUEST).await.unwrap();
     accept_submission(&mut events).await;
-    client.read_exact(&mut [0; 20]).await.expect("the first answer");
+    client.read_exact(&mut [0; 20]).await.expect("the first response");
     let (first, rest) = REQUEST.split_at(30);
     client.write_all(first).await.unwrap();
     sleep(Duration::from_millis(1)).await;
@@ -236,56 +239,57 @@
     sleep(Duration::from_millis(1)).await;
     client.write_all(rest).await.expect("the connection is open");
     accept_submission(&mut events).await;
-    let (answer, _) = until_closed(&mut client).await;
-    assert!(answer.contains("HTTP/1.1 202") && answer.contains("connection: close"), "{answer}");
+    let (response, _) = read_until_closed(&mut client).await;
+    assert!(response.contains("HTTP/1.1 202") && response.contains("connection: close"), "{response}");
 }
 
 /// Closing a socket with unread bytes resets the connection, which can discard a response in transit.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_sends_more_than_is_answered_is_read_on_while_its_connection_closes() {
+async fn excess_data_is_read_while_the_connection_closes() {
     let (mut client, stage, mut events) = connect_with_buffer(1024, &ConnectionLimit::new(1)).await;
     stage.send_replace(LifecycleStage::Draining);
-    let more = [REQUEST, &[b'x'; 3 * MAX_BUFFER_BYTES]].concat();
+    let excess_request = [REQUEST, &[b'x'; 3 * MAX_BUFFER_BYTES]].concat();
     let (mut reading, mut writing) = tokio::io::split(&mut client);
     let sends = async {
-        writing.write_all(&more).await.expect("the rest is read");
-        writing.shutdown().await.expect("the connection stands");
+        writing.write_all(&excess_request).await.expect("the rest is read");
+        writing.shutdown().await.expect("the connection is open");
     };
-    let mut answer = String::new();
+    let mut response = String::new();
     let (_, _, read) =
-        tokio::join!(sends, accept_submission(&mut events), reading.read_to_string(&mut answer));
-    read.expect("an end");
-    assert!(answer.starts_with("HTTP/1.1 202"), "{answer}");
+        tokio::join!(sends, accept_submission(&mut events), reading.read_to_string(&mut response));
+    read.expect("the end of the connection");
+    assert!(response.starts_with("HTTP/1.1 202"), "{response}");
 }
 
 /// Guards against an overloaded server that spends all its time on requests of clients that have
 /// disconnected.
 #[tokio::test]
-async fn in_strain_what_hung_up_before_it_was_accepted_is_refused_unread() {
+async fn overloaded_server_refuses_half_closed_connections_unread() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mut hung_up = TcpStream::connect(address).await.unwrap();
     hung_up.write_all(REQUEST).await.unwrap();
     hung_up.shutdown().await.unwrap();
     let mut waits = TcpStream::connect(address).await.unwrap();
-    let other = std::str::from_utf8(REQUEST).unwrap().replace("X-Request-Id: m", "X-Request-Id: waits");
-    waits.write_all(other.as_bytes()).await.unwrap();
-    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let other_request =
+        std::str::from_utf8(REQUEST).unwrap().replace("X-Request-Id: m", "X-Request-Id: waits");
+    waits.write_all(other_request.as_bytes()).await.unwrap();
+    let (_stage, stage_receiver) = watch::channel(LifecycleStage::Serving);
     let (events, mut receiver) = events::channel();
     tokio::spawn(serve(
         listener,
-        context_with_overload(seen, events, OverloadMonitor::always_overloaded()),
+        context_with_overload(stage_receiver, events, OverloadMonitor::always_overloaded()),
         ConnectionLimit::new(4),
     ));
-    let mut answer = String::new();
-    let read = timeout(10 * CLOSE_DEADLINE, hung_up.read_to_string(&mut answer)).await;
-    read.expect("an answer").expect("an end");
-    assert!(answer.starts_with("HTTP/1.1 503") && answer.ends_with("\r\n\r\n"), "{answer}");
+    let mut response = String::new();
+    let read = timeout(10 * CLOSE_DEADLINE, hung_up.read_to_string(&mut response)).await;
+    read.expect("a response").expect("the end of the connection");
+    assert!(response.starts_with("HTTP/1.1 503") && response.ends_with("\r\n\r\n"), "{response}");
     match receiver.recv().await {
         Some(NodeEvent::Submit { message, .. }) => assert_eq!(message.id, "waits"),
-        _ => panic!("nothing was handed in"),
+        _ => panic!("no message was submitted"),
     }
-    assert!(receiver.try_recv().is_err(), "the other was handed in too");
+    assert!(receiver.try_recv().is_err(), "the other one was submitted too");
 }
 
 /// Connects clients and writes a request for each before the first is accepted.
@@ -301,17 +305,17 @@
 
 /// Guards against the end of a message and its notice waiting behind all client connections that are ready.
 #[tokio::test]
-async fn in_one_turn_of_the_runtime_only_a_few_requests_are_taken_in() {
+async fn few_requests_are_submitted_per_turn() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (_stage, stage_receiver) = watch::channel(LifecycleStage::Serving);
     let (events, mut receiver) = events::channel();
-    tokio::spawn(serve(listener, context(seen, events), ConnectionLimit::new(100)));
+    tokio::spawn(serve(listener, context(stage_receiver, events), ConnectionLimit::new(100)));
     let mut clients = clients(address, 5 * READS_PER_TURN).await;
     for client in &mut clients {
         match receiver.recv().await {
             Some(NodeEvent::Submit { reply, .. }) => drop(reply),
-            _ => panic!("nothing was handed in"),
+            _ => panic!("no message was submitted"),
         }
         // All connections are open and send their next request at the same moment.
         client.readable().await.unwrap();
@@ -323,28 +327,28 @@
     while submitted.len() < 5 * READS_PER_TURN && started_at.elapsed() < 10 * CLOSE_DEADLINE {
         yield_now().await;
         let before = submitted.len();
-        while let Ok(input) = receiver.try_recv() {
-            submitted.push(input);
+        while let Ok(event) = receiver.try_recv() {
+            submitted.push(event);
         }
         assert!(submitted.len() - before <= READS_PER_TURN, "{} in one turn", submitted.len() - before);
     }
-    assert_eq!(submitted.len(), 5 * READS_PER_TURN, "all have their turn");
+    assert_eq!(submitted.len(), 5 * READS_PER_TURN, "every request is submitted in the end");
 }
 
 /// Submits two requests, one of which waits until it is too late. Returns the responses, the number of
 /// submitted messages and whether a late refusal was reported.
 async fn submit_two_while_loop_is_late(hangs_up: bool) -> (String, usize, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let mut both = clients(listener.local_addr().unwrap(), 2).await;
+    let mut clients = clients(listener.local_addr().unwrap(), 2).await;
     if hangs_up {
-        both[0].shutdown().await.unwrap();
-        both[1].shutdown().await.unwrap();
+        clients[0].shutdown().await.unwrap();
+        clients[1].shutdown().await.unwrap();
     }
-    let (_stage, seen) = watch::channel(LifecycleStage::Serving);
+    let (_stage, stage_receiver) = watch::channel(LifecycleStage::Serving);
     let (events, mut receiver) = events::channel();
     let limited_context = ServerContext {
         read_limiter: AdmissionLimiter::new(1),
-        ..Arc::into_inner(context(seen, events)).unwrap()
+        ..Arc::into_inner(context(stage_receiver, events)).unwrap()
     };
     tokio::spawn(serve(listener, Arc::new(limited_context), ConnectionLimit::new(4)));
     let first = receiver.recv().await;
@@ -352,58 +356,60 @@
     // The event loop is late.
     std::thread::sleep(MAX_READ_DELAY);
     drop(first);
-    let (mut answers, mut submitted, mut counted) = (String::new(), 1, false);
-    for client in &mut both {
-        let mut answer = [0; 512];
-        let n =
-            timeout(10 * CLOSE_DEADLINE, client.read(&mut answer)).await.expect("an answer").expect("whole");
-        answers.push_str(std::str::from_utf8(&answer[..n]).unwrap());
+    let (mut responses, mut submitted, mut refused_late) = (String::new(), 1, false);
+    for client in &mut clients {
+        let mut response = [0; 512];
+        let length = timeout(10 * CLOSE_DEADLINE, client.read(&mut response))
+            .await
+            .expect("a response")
+            .expect("a whole response");
+        responses.push_str(std::str::from_utf8(&response[..length]).unwrap());
     }
-    while let Ok(input) = receiver.try_recv() {
-        submitted += usize::from(matches!(input, NodeEvent::Submit { .. }));
-        counted |= matches!(input, NodeEvent::RefusedLate { class: 0 });
+    while let Ok(event) = receiver.try_recv() {
+        submitted += usize::from(matches!(event, NodeEvent::Submit { .. }));
+        refused_late |= matches!(event, NodeEvent::RefusedLate { class: 0 });
     }
-    (answers, submitted, counted)
+    (responses, submitted, refused_late)
 }
 
 #[tokio::test]
-async fn a_request_that_waits_until_it_is_too_late_is_refused_before_it_is_handed_in() {
-    let (answers, submitted, counted) = submit_two_while_loop_is_late(false).await;
-    assert_eq!((answers.matches("HTTP/1.1 503").count(), submitted), (2, 1), "{answers}");
-    assert!(counted, "it is in the figures");
+async fn late_request_is_refused_before_it_is_submitted() {
+    let (responses, submitted, refused_late) = submit_two_while_loop_is_late(false).await;
+    assert_eq!((responses.matches("HTTP/1.1 503").count(), submitted), (2, 1), "{responses}");
+    assert!(refused_late, "the late refusal is reported");
 }
 
 #[tokio::test]
-async fn a_request_that_waits_until_its_client_has_hung_up_is_refused_unread() {
-    let (answers, submitted, counted) = submit_two_while_loop_is_late(true).await;
-    assert_eq!((answers.matches("HTTP/1.1 503").count(), submitted), (2, 1), "{answers}");
-    assert!(!counted, "it was not read");
+async fn late_request_of_a_disconnected_client_is_refused_unread() {
+    let (responses, submitted, refused_late) = submit_two_while_loop_is_late(true).await;
+    assert_eq!((responses.matches("HTTP/1.1 503").count(), submitted), (2, 1), "{responses}");
+    assert!(!refused_late, "the request was not read");
 }
 
 #[test]
-fn fewer_wait_to_be_accepted_the_longer_turns_take() {
-    let of_turns_of = |ms| accept_backlog(Duration::from_millis(ms));
-    assert_eq!([0, 50, 100, 3000].map(of_turns_of), [MAX_ACCEPT_BACKLOG, 8, 4, 1]);
+fn accept_backlog_shrinks_as_turns_take_longer() {
+    let backlog_for = |ms| accept_backlog(Duration::from_millis(ms));
+    assert_eq!([0, 50, 100, 3000].map(backlog_for), [MAX_ACCEPT_BACKLOG, 8, 4, 1]);
 }
 
 /// The accept queue is longer than what is accepted before the listener closes.
 #[tokio::test]
-async fn what_waits_to_be_accepted_when_the_process_is_to_end_has_its_answer() {
+async fn queued_connections_get_their_responses_when_the_process_ends() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let count = 3 * ACCEPTS_PER_TURN;
     let mut waiting = clients(listener.local_addr().unwrap(), count).await;
-    let (_stage, seen) = watch::channel(LifecycleStage::Closing);
+    let (_stage, stage_receiver) = watch::channel(LifecycleStage::Closing);
     let (events, mut receiver) = events::channel();
-    let serving = tokio::spawn(serve(listener, context(seen, events), ConnectionLimit::new(count)));
+    let serving = tokio::spawn(serve(listener, context(stage_receiver, events), ConnectionLimit::new(count)));
     for client in &mut waiting {
         accept_submission(&mut receiver).await;
         client.readable().await.unwrap();
     }
     for client in &mut waiting {
-        let mut answer = String::new();
-        let read = timeout(10 * CLOSE_DEADLINE, client.read_to_string(&mut answer)).await;
-        read.expect("an answer").expect("whole, and an end");
-        assert!(answer.starts_with("HTTP/1.1 202") && answer.contains("connection: close"), "{answer}");
+        let mut response = String::new();
+        let read = timeout(10 * CLOSE_DEADLINE, client.read_to_string(&mut response)).await;
+        read.expect("a response").expect("a whole response, then the end");
+        assert!(response.starts_with("HTTP/1.1 202") && response.contains("connection: close"), "{response}");
     }
-    timeout(10 * CLOSE_DEADLINE, serving).await.expect("nothing more is accepted").unwrap();
+    timeout(10 * CLOSE_DEADLINE, serving).await.expect("the server stops accepting").unwrap();
 }
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -124,7 +124,7 @@
     pub fn record_undelivered(
         &mut self, id: &str, notice: Notice, attempts: u32, left: i64,
     ) -> Option<String> {
-        let what = match notice {
+        let result = match notice {
             Notice::GivenUp => "given up",
             Notice::HandedBack { .. } => "handed back",
         };
@@ -132,8 +132,9 @@
             Notice::GivenUp => self.given_up += 1,
             Notice::HandedBack { .. } => self.handed_back += 1,
         }
-        let few = self.given_up + self.handed_back <= UNDELIVERED_LINES;
-        few.then(|| format!("message {id}: {what} after {attempts} attempts, {left} us before its time"))
+        let below_limit = self.given_up + self.handed_back <= UNDELIVERED_LINES;
+        below_limit
+            .then(|| format!("message {id}: {result} after {attempts} attempts, {left} us before its time"))
     }
 
     /// Renders the line and resets the counters. Returns nothing for an idle interval.
@@ -194,7 +195,7 @@
     use super::*;
 
     #[test]
-    fn a_line_covers_one_interval_and_an_idle_interval_has_none() {
+    fn line_covers_one_interval_and_is_omitted_when_idle() {
         let quiet = Gauges {
             recovery: RecoveryStats::default(),
             held_messages: 0,
@@ -225,7 +226,7 @@
     }
 
     #[test]
-    fn undelivered_messages_are_logged_up_to_a_limit_per_interval() {
+    fn undelivered_messages_are_logged_up_to_a_limit() {
         let mut interval_stats = IntervalStats::default();
         let lines: Vec<_> = (0..50)
             .filter_map(|_| interval_stats.record_undelivered("m1", Notice::GivenUp, 2, 3_000))
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -35,26 +35,28 @@
 /// Installs the signal handlers and runs the node.
 async fn run(config: Config) -> Result<Rest, String> {
     let (node_events, receiver) = events::channel();
-    let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
+    let mut terminate =
+        signal(SignalKind::terminate()).map_err(|e| format!("cannot install a signal handler: {e}"))?;
     let events = node_events.clone();
     tokio::spawn(async move {
         while terminate.recv().await.is_some() {
             events.send(NodeEvent::Terminate);
         }
     });
-    let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
+    let mut hangup =
+        signal(SignalKind::hangup()).map_err(|e| format!("cannot install a signal handler: {e}"))?;
     let events = node_events.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
             match Config::discovery_now() {
                 Ok(address) => events.send(NodeEvent::DiscoveryAddress(address)),
-                Err(error) => eprintln!("foldtrack: discovery stays where it is: {error}"),
+                Err(error) => eprintln!("foldtrack: keeping the current discovery address: {error}"),
             }
         }
     });
     let (listen, state) = (config.listen, config.state.clone());
     let result = node::run(config, node_events, receiver).await;
-    result.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
+    result.map_err(|e| format!("cannot serve on {listen} with state directory {}: {e}", state.display()))
 }
 
 /// Upper bound on the tasks that the runtime polls before it checks the node, sockets and timers again. One
@@ -65,12 +67,12 @@
 /// Replaces this process by a fresh start from the write-ahead log. Called when the successor, which owned
 /// the log, has ended.
 fn restart_process() -> ExitCode {
-    eprintln!("foldtrack: the new version has ended; starting anew from the log");
+    eprintln!("foldtrack: the successor has ended; restarting from the write-ahead log");
     let error = match std::env::current_exe() {
         Ok(program) => Command::new(program).args(std::env::args_os().skip(1)).exec(),
         Err(error) => error,
     };
-    eprintln!("foldtrack: not started anew: {error}");
+    eprintln!("foldtrack: cannot restart: {error}");
     ExitCode::FAILURE
 }
 
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -177,7 +177,7 @@
             Start::Alone(lock) => break (Node::restored(&config, &events, lock)?, None),
             Start::Successor(offer) => match Node::succeeding(&config, &events, *offer) {
                 Ok((node, listener)) => break (node, Some(listener)),
-                Err(error) => eprintln!("upgrade: nothing was handed over: {error}"),
+                Err(error) => eprintln!("upgrade: cannot take over from the running process: {error}"),
             },
         }
     };
@@ -218,7 +218,7 @@
                     successor_listener.iter().for_each(JoinHandle::abort);
                     return node.into_remainder().serve(successor, receiver).await;
                 }
-                Err(error) => eprintln!("upgrade: nothing was handed over: {error}"),
+                Err(error) => eprintln!("upgrade: the successor could not take over: {error}"),
             }
         }
         let wake = node.next_wake();
@@ -368,7 +368,7 @@
                 let _ = reply.send(self.handle_admin_request(request));
             }
             NodeEvent::DiscoveryAddress(address) => {
-                eprintln!("discovery is at {address} from now on");
+                eprintln!("discovery: address changed to {address}");
                 self.discovery.send_replace(address);
             }
             NodeEvent::Successor(stream) => self.successor = Some(stream),
@@ -444,7 +444,7 @@
             return AdminResponse::new(StatusCode::NOT_FOUND, "no such endpoint\n");
         }
         if let Err(error) = self.taken_out.note(name, disabled) {
-            eprintln!("admin: {name} stays as it is: {error}");
+            eprintln!("admin: state of endpoint {name} not changed: {error}");
             return AdminResponse::new(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n"));
         }
         let state = if disabled { "out" } else { "in" };
@@ -542,7 +542,7 @@
             };
             let accepted = Record::Accepted(held.message.accepted(&self.settings, &self.clock));
             if let Err(error) = self.journal.append(number, &accepted) {
-                eprintln!("journal: a message is refused: {error}");
+                eprintln!("journal: message refused, as it cannot be recorded: {error}");
                 let _ = reply.send(SubmitResponse::Refused { retry_in_ms: 0 });
                 self.discard_unaccepted(number);
                 continue;
@@ -658,7 +658,7 @@
         let attempt_start = Record::Begun { at: self.clock.unix(self.clock.now()), zone };
         match self.journal.append(number, &attempt_start) {
             Ok(()) => call.started = true,
-            Err(error) => eprintln!("journal: a call is not made: {error}"),
+            Err(error) => eprintln!("journal: call not started, as it cannot be recorded: {error}"),
         }
         call.started
     }
--- a/src/bin/foldtrack/overload.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -135,7 +135,7 @@
     use super::*;
 
     #[tokio::test(start_paused = true)]
-    async fn a_late_turn_marks_overload_for_one_window() {
+    async fn late_turn_means_overload_for_one_window() {
         let monitor = OverloadMonitor::default();
         monitor.record_delay(LATE_TURN);
         assert!(!monitor.is_overloaded());
