--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -8,8 +8,8 @@
 use crate::overload::OverloadMonitor;
 use crate::streams::{self, ObservedStream, StreamObserver};
 use bytes::Bytes;
-use hatchline::settings::Parsed;
-use hatchline::{Effect, Micros};
+use hatchline::settings::DeploymentSettings;
+use hatchline::{Micros, RetrySafety};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, RETRY_AFTER};
@@ -60,7 +60,7 @@
 
 /// State shared by all connections.
 pub(crate) struct ServerContext {
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub events: EventSender,
     pub stage: watch::Receiver<LifecycleStage>,
@@ -415,7 +415,8 @@
     if state.progress().too_late {
         context.events.send(NodeEvent::RefusedLate { class: message.class });
         let limits = &context.settings.settings;
-        let wait = if limits.may_advise_wait { limits.max_advised_wait.min(OVERLOAD_RETRY_AFTER) } else { 0 };
+        let wait =
+            if limits.may_send_retry_after { limits.max_retry_after.min(OVERLOAD_RETRY_AFTER) } else { 0 };
         return Ok(refusal_response(wait.div_ceil(1000)));
     }
     let (reply, response) = oneshot::channel();
@@ -442,7 +443,7 @@
         .now()
         .saturating_sub((queue_time + context.overload.event_loop_lag()).as_micros() as Micros);
     let path = request.uri().path().strip_prefix('/').unwrap_or_default();
-    let (class_name, key) = path.split_once('/').unwrap_or((path, ""));
+    let (class_name, order_key) = path.split_once('/').unwrap_or((path, ""));
     let known = context.settings.class_names.iter().position(|n| n == class_name);
     let class = known.ok_or(StatusCode::NOT_FOUND)?;
     if request.method() != Method::POST {
@@ -451,10 +452,10 @@
     let class_settings = &context.settings.settings.classes[class];
     // Only classes with ordered delivery take a key in the path, and none takes a query: a peer that sends
     // one is not a valid client.
-    if !(class_settings.in_order || key.is_empty()) || request.uri().query().is_some() {
+    if !(class_settings.in_order || order_key.is_empty()) || request.uri().query().is_some() {
         return Err(StatusCode::NOT_FOUND);
     }
-    let key = key.rsplit('/').next().unwrap_or("").to_string();
+    let order_key = order_key.rsplit('/').next().unwrap_or("").to_string();
     let header = |name: &str| -> Result<Option<String>, StatusCode> {
         let Some(value) = request.headers().get(name) else { return Ok(None) };
         Ok(Some(value.to_str().map_err(|_| BAD_REQUEST_STATUS)?.trim().to_string()))
@@ -463,10 +464,10 @@
     let time_left = header("X-Deadline")?.and_then(|t| parse_duration(&t)).ok_or(BAD_REQUEST_STATUS)?;
     let destination = header("X-Consignee")?.and_then(|t| parse_destination(&t)).ok_or(BAD_REQUEST_STATUS)?;
     let idempotency_key = header("Idempotency-Key")?;
-    if class_settings.effect == Effect::Keyed && idempotency_key.is_none() {
+    if class_settings.retry_safety == RetrySafety::Keyed && idempotency_key.is_none() {
         return Err(BAD_REQUEST_STATUS);
     }
-    let retry = header("X-Retry")?;
+    let retry_header = header("X-Retry")?;
     // The length of the body must be unambiguous, or what a peer appends to it could pass for another
     // request.
     if !request.headers().contains_key(CONTENT_LENGTH) {
@@ -481,8 +482,8 @@
         Err(e) if e.is::<http_body_util::LengthLimitError>() => return Err(StatusCode::PAYLOAD_TOO_LARGE),
         Err(_) => return Err(BAD_REQUEST_STATUS),
     };
-    let expires = sent_at.checked_add(time_left).ok_or(BAD_REQUEST_STATUS)?;
-    Ok(Message { id, class, destination, key, idempotency_key, retry, expires, body })
+    let expires_at = sent_at.checked_add(time_left).ok_or(BAD_REQUEST_STATUS)?;
+    Ok(Message { id, class, destination, order_key, idempotency_key, retry_header, expires_at, body })
 }
 
 /// Parses a duration of a number and a unit: `480m` for milliseconds, `900u` for microseconds.
--- a/src/bin/foldtrack/client_server_tests.rs
+++ b/src/bin/foldtrack/client_server_tests.rs
@@ -138,7 +138,7 @@
         let Some(NodeEvent::Submit { message, reply }) = receiver.recv().await else {
             panic!("no message was submitted")
         };
-        assert_eq!(message.expires, now - queue_time + 9_000_000, "only the first waited in the queue");
+        assert_eq!(message.expires_at, now - queue_time + 9_000_000, "only the first waited in the queue");
         drop(reply);
         client.read_exact(&mut [0; 12]).await.expect("a response");
     }
--- a/src/bin/foldtrack/relay.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -6,12 +6,12 @@
     AdminRequest, AdminResponse, CallEnd, EventSender, LifecycleStage, NodeEvent, ResponseGuard,
     SubmitResponse,
 };
-use crate::journal::Accepted;
+use crate::hot_restart::{frame, length_of};
 use crate::message::Message;
 use crate::metrics::{MessageResult, Metrics};
-use crate::upgrade::{frame, length_of};
-use hatchline::settings::Parsed;
-use hatchline::{LimitReport, Outcome, Pool, TargetId};
+use crate::write_ahead_log::AcceptedMessage;
+use hatchline::settings::DeploymentSettings;
+use hatchline::{EndpointCounts, LimitReport, Outcome, TargetId};
 use hyper::StatusCode;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -60,7 +60,7 @@
     /// Handed in on a connection that it still has; the name of the answer.
     HandIn {
         name: u64,
-        accepted: Accepted,
+        accepted: AcceptedMessage,
     },
 }
 
@@ -73,13 +73,13 @@
 }
 
 /// A call of the old process: message, attempt, target, and what tells that it is called off.
-pub(crate) type LeftCall = (u64, u32, TargetId, oneshot::Receiver<()>);
+pub(crate) type InheritedCall = (u64, u32, TargetId, oneshot::Receiver<()>);
 
 /// What keeps the owner in touch with the process that it took over from.
-pub(crate) struct Predecessor {
+pub(crate) struct PredecessorLink {
     pub inputs: EventSender,
-    pub settings: Arc<Parsed>,
-    pub calls: Vec<LeftCall>,
+    pub settings: Arc<DeploymentSettings>,
+    pub calls: Vec<InheritedCall>,
     /// Messages whose clients it is telling that they are taken on.
     pub answering: BTreeSet<u64>,
     /// Places that its connections take.
@@ -93,13 +93,13 @@
     Answer { name: u64, answer: SubmitResponse },
 }
 
-impl Predecessor {
+impl PredecessorLink {
     /// Passes on what the old process tells, until it has ended. What it leaves open then has an end too: its calls
     /// may have run, and clients may have heard that their messages are taken on.
-    pub async fn attend(self, stream: UnixStream) -> io::Result<()> {
+    pub async fn run(self, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
-        let Predecessor { inputs, settings, calls, mut answering, reserved, clock } = self;
+        let PredecessorLink { inputs, settings, calls, mut answering, reserved, clock } = self;
         let (words, mut said) = mpsc::unbounded_channel();
         let mut open: BTreeMap<(u64, u32), TargetId> = BTreeMap::new();
         for (number, attempt, target, cancelled) in calls {
@@ -159,7 +159,7 @@
                         }
                     },
                     Some(FromOld::HandIn { name, accepted }) => {
-                        let message = Message::of(accepted, &settings, &clock);
+                        let message = Message::from_accepted(accepted, &settings, &clock);
                         let (reply, answer) = oneshot::channel();
                         inputs.send(NodeEvent::Submit { message: Arc::new(message), reply });
                         let words = words.clone();
@@ -191,34 +191,34 @@
 }
 
 /// What is left of a process that has handed over: its calls in flight and its clients' connections.
-pub(crate) struct Remainder {
+pub(crate) struct DrainingProcess {
     /// What calls each off, unless it has been.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
     pub figures: Metrics,
-    pub pool: Pool,
+    pub pool: EndpointCounts,
     pub inputs: EventSender,
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub stage: watch::Sender<LifecycleStage>,
     pub places: ConnectionLimit,
     /// After the signal to end: when idle connections close, and by when the process has ended.
-    pub accept_on: Duration,
-    pub end_by: Duration,
+    pub close_idle_after: Duration,
+    pub exit_within: Duration,
 }
 
 /// How it ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Rest {
-    Done,
+pub(crate) enum ExitReason {
+    Completed,
     /// The successor has ended first, and nobody owns the log.
-    Orphaned,
+    SuccessorLost,
 }
 
-impl Remainder {
+impl DrainingProcess {
     /// Serves the successor until nothing is left to do.
-    pub async fn serve(
+    pub async fn run(
         mut self, stream: UnixStream, mut receiver: UnboundedReceiver<NodeEvent>,
-    ) -> io::Result<Rest> {
+    ) -> io::Result<ExitReason> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
         let (frames, mut heard) = mpsc::unbounded_channel();
@@ -247,7 +247,7 @@
                     NodeEvent::Submit { message, reply } => {
                         next_name += 1;
                         replies.insert(next_name, reply);
-                        let accepted = message.accepted(&self.settings, &self.clock);
+                        let accepted = message.to_accepted(&self.settings, &self.clock);
                         let _ = tell.send(FromOld::HandIn { name: next_name, accepted });
                     }
                     NodeEvent::Terminate => terminated = terminated.or(Some(Instant::now())),
@@ -272,17 +272,17 @@
                         let answer = SubmitResponse::Refused { retry_in_ms };
                         let _ = replies.remove(&name).map(|reply| reply.send(answer));
                     }
-                    None if terminated.is_some() => break Rest::Done,
-                    None => break Rest::Orphaned,
+                    None if terminated.is_some() => break ExitReason::Completed,
+                    None => break ExitReason::SuccessorLost,
                 },
                 () = sleep_until(look) => {
                     look = Instant::now() + LOOK;
                     let left = !(calls.is_empty() && replies.is_empty() && self.places.in_use() == 0);
                     let since = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
-                    if !left || since >= self.end_by {
-                        break Rest::Done;
+                    if !left || since >= self.exit_within {
+                        break ExitReason::Completed;
                     }
-                    if since >= self.accept_on {
+                    if since >= self.close_idle_after {
                         self.stage.send_replace(LifecycleStage::Closing);
                     }
                 }
@@ -343,18 +343,18 @@
     fn an_old_process_counts_what_it_turns_away() {
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
         let settings = json!({"balancers": 1, "categories": classes, "limits": {}});
-        let settings: Arc<Parsed> = Arc::new(serde_json::from_value(settings).unwrap());
-        let mut old = Remainder {
+        let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_value(settings).unwrap());
+        let mut old = DrainingProcess {
             calls: BTreeMap::new(),
             figures: Metrics::new(&settings.class_names),
-            pool: Pool::default(),
+            pool: EndpointCounts::default(),
             inputs: events::channel().0,
             settings,
             clock: Clock::new(),
             stage: watch::Sender::new(LifecycleStage::HandedOver),
             places: ConnectionLimit::new(1),
-            accept_on: Duration::ZERO,
-            end_by: Duration::ZERO,
+            close_idle_after: Duration::ZERO,
+            exit_within: Duration::ZERO,
         };
         old.pass_on(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
         let text = old.figures.render(0, old.pool);
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -1,7 +1,7 @@
 //! Events that connections, timers and signals report to the node, and the sender by which they do so.
 //! Modules that report events depend on this module, never on the node.
 
-use crate::connection::Connection;
+use crate::connection::HttpConnection;
 use crate::message::Message;
 use hatchline::discovery::list::ServerList;
 use hatchline::{LimitReport, Outcome, TargetId};
@@ -147,7 +147,7 @@
     /// The endpoint's generation when the call began.
     pub generation: u32,
     /// The connection, if it can be reused.
-    pub connection: Option<Connection>,
+    pub connection: Option<HttpConnection>,
 }
 
 impl CallEnd {
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -1,7 +1,7 @@
 //! The interval log line, written at most once a second: how messages and calls have ended since the last
 //! one, how much is held and in flight, and how far the event loop and the notices lag behind.
 
-use crate::journal::Notice;
+use crate::write_ahead_log::NonDeliveryNotice;
 use hatchline::{Micros, Outcome};
 use std::fmt::Write;
 use std::time::Duration;
@@ -92,7 +92,7 @@
     match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
-        Outcome::Full => 2,
+        Outcome::Rejected => 2,
         Outcome::TimedOut => 3,
         Outcome::ConnectFailed => 4,
         Outcome::Reset => 5,
@@ -122,15 +122,15 @@
     /// Counts an accepted message that ends by a notice. Returns a log line for it, up to
     /// [`UNDELIVERED_LINES`] per interval.
     pub fn record_undelivered(
-        &mut self, id: &str, notice: Notice, attempts: u32, left: i64,
+        &mut self, id: &str, notice: NonDeliveryNotice, attempts: u32, left: i64,
     ) -> Option<String> {
         let result = match notice {
-            Notice::GivenUp => "given up",
-            Notice::HandedBack { .. } => "handed back",
+            NonDeliveryNotice::GivenUp => "given up",
+            NonDeliveryNotice::HandedBack { .. } => "handed back",
         };
         match notice {
-            Notice::GivenUp => self.given_up += 1,
-            Notice::HandedBack { .. } => self.handed_back += 1,
+            NonDeliveryNotice::GivenUp => self.given_up += 1,
+            NonDeliveryNotice::HandedBack { .. } => self.handed_back += 1,
         }
         let below_limit = self.given_up + self.handed_back <= UNDELIVERED_LINES;
         below_limit
@@ -229,7 +229,7 @@
     fn undelivered_messages_are_logged_up_to_a_limit() {
         let mut interval_stats = IntervalStats::default();
         let lines: Vec<_> = (0..50)
-            .filter_map(|_| interval_stats.record_undelivered("m1", Notice::GivenUp, 2, 3_000))
+            .filter_map(|_| interval_stats.record_undelivered("m1", NonDeliveryNotice::GivenUp, 2, 3_000))
             .collect();
         assert_eq!(lines.len(), UNDELIVERED_LINES as usize);
         assert_eq!(lines[0], "message m1: given up after 2 attempts, 3000 us before its time");
@@ -245,7 +245,7 @@
         let line = interval_stats.take_line(&quiet);
         assert!(line.is_some_and(|l| l.contains("given up 50")));
         assert!(interval_stats
-            .record_undelivered("m2", Notice::HandedBack { retry_in_ms: 0 }, 0, 0)
+            .record_undelivered("m2", NonDeliveryNotice::HandedBack { retry_in_ms: 0 }, 0, 0)
             .is_some());
     }
 }
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -4,36 +4,36 @@
 
 mod admin_server;
 mod admission;
+mod calls;
 mod client_server;
 mod clock;
 mod config;
 mod connection;
 mod connection_limit;
+mod disabled_endpoints;
 mod discovery_client;
+mod draining;
+mod endpoint_list_cache;
 mod events;
+mod hot_restart;
 mod interval_stats;
-mod journal;
-mod last_list;
 mod message;
 mod metrics;
 mod node;
-mod out;
 mod overload;
-mod relay;
 mod report_client;
 mod streams;
-mod targets;
-mod upgrade;
+mod write_ahead_log;
 
 use config::Config;
+use draining::ExitReason;
 use events::NodeEvent;
-use relay::Rest;
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Installs the signal handlers and runs the node.
-async fn run(config: Config) -> Result<Rest, String> {
+async fn run(config: Config) -> Result<ExitReason, String> {
     let (node_events, receiver) = events::channel();
     let mut terminate =
         signal(SignalKind::terminate()).map_err(|e| format!("cannot install a signal handler: {e}"))?;
@@ -48,13 +48,13 @@
     let events = node_events.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
-            match Config::discovery_now() {
+            match Config::reload_discovery_address() {
                 Ok(address) => events.send(NodeEvent::DiscoveryAddress(address)),
                 Err(error) => eprintln!("foldtrack: keeping the current discovery address: {error}"),
             }
         }
     });
-    let (listen, state) = (config.listen, config.state.clone());
+    let (listen, state) = (config.listen_address, config.state_directory.clone());
     let result = node::run(config, node_events, receiver).await;
     result.map_err(|e| format!("cannot serve on {listen} with state directory {}: {e}", state.display()))
 }
@@ -84,8 +84,8 @@
         runtime.map_err(|e| e.to_string())?.block_on(run(config))
     });
     match result {
-        Ok(Rest::Done) => ExitCode::SUCCESS,
-        Ok(Rest::Orphaned) => restart_process(),
+        Ok(ExitReason::Completed) => ExitCode::SUCCESS,
+        Ok(ExitReason::SuccessorLost) => restart_process(),
         Err(error) => {
             eprintln!("foldtrack: {error}");
             ExitCode::FAILURE
--- a/src/bin/foldtrack/metrics.rs
+++ b/src/bin/foldtrack/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics that operators read: counters since the start of the process, and their text form.
 
-use hatchline::Pool;
+use hatchline::EndpointCounts;
 use std::fmt::Write;
 
 /// Final result of a message. Each message has exactly one.
@@ -56,14 +56,14 @@
     }
 
     /// Renders all metrics, one a line; `active` messages are accepted and not yet ended.
-    pub fn render(&self, active: usize, pool: Pool) -> String {
+    pub fn render(&self, active: usize, pool: EndpointCounts) -> String {
         let mut text = String::new();
         for ClassCounters { name, ok, shed, errors, tries } in &self.0 {
             for (counter, count) in [("ok", ok), ("shed", shed), ("errors", errors), ("tries", tries)] {
                 let _ = writeln!(text, "responses.{name}.{counter}={count}");
             }
         }
-        let Pool { listed, avoided } = pool;
+        let EndpointCounts { listed, ejected: avoided } = pool;
         let _ = writeln!(text, "active={active}\npool_size={listed}\npool_ejected={avoided}");
         text
     }
@@ -81,7 +81,7 @@
         metrics.record_result(1, MessageResult::Error);
         metrics.record_result(7, MessageResult::Ok);
         (0..3).for_each(|_| metrics.record_attempt(1));
-        let text = metrics.render(5, Pool { listed: 9, avoided: 2 });
+        let text = metrics.render(5, EndpointCounts { listed: 9, ejected: 2 });
         let expected = "responses.a.ok=1\nresponses.a.shed=0\nresponses.a.errors=0\nresponses.a.tries=0\n\
              responses.b.ok=0\nresponses.b.shed=1\nresponses.b.errors=1\nresponses.b.tries=3\n\
              active=5\npool_size=9\npool_ejected=2\n";
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -4,28 +4,28 @@
 
 use crate::admin_server;
 use crate::admission::AdmissionLimiter;
+use crate::calls::{self, Call, IdleConnectionPool};
 use crate::client_server::{self, ServerContext};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::connection_limit::ConnectionLimit;
+use crate::disabled_endpoints::{self, DisabledEndpoints};
 use crate::discovery_client;
+use crate::draining::ExitReason;
+use crate::endpoint_list_cache::{self, EndpointListCache};
 use crate::events::{
     AdminRequest, AdminResponse, CallEnd, EventSender, LifecycleStage, NodeEvent, ResponseGuard,
     SubmitResponse,
 };
+use crate::hot_restart::{self, LogLock, StartMode};
 use crate::interval_stats::{Gauges, IntervalStats, RecoveryStats};
-use crate::journal::{Fate, Journal, Notice, Record, Restored};
-use crate::last_list::{self, LastList};
-use crate::message::{order_key, Message};
+use crate::message::{order_key_hash, Message};
 use crate::metrics::{MessageResult, Metrics};
-use crate::out::{self, TakenOut};
 use crate::overload::OverloadMonitor;
-use crate::relay::Rest;
 use crate::report_client::ReportClient;
-use crate::targets::{self, Call, IdleConnections};
-use crate::upgrade::{self, Lock, Start};
+use crate::write_ahead_log::{ExecutionStatus, LogRecord, NonDeliveryNotice, RestoredMessage, WriteAheadLog};
 use hatchline::discovery::list::{ServerList, ServerState};
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::{
     Action, DeliveryPolicy, Endpoint, EndpointState, Event, ListKind, Micros, Outcome, TargetId,
 };
@@ -44,7 +44,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, timeout, Instant};
 
-mod succession;
+mod takeover;
 
 /// Upper bound on the events that one round handles.
 const MAX_EVENTS_PER_ROUND: usize = 1024;
@@ -99,7 +99,7 @@
 struct PendingNotice {
     id: String,
     order_key: u64,
-    notice: Notice,
+    notice: NonDeliveryNotice,
 }
 
 /// A call in flight.
@@ -124,8 +124,8 @@
 struct Node {
     clock: Clock,
     policy: DeliveryPolicy,
-    settings: Arc<Parsed>,
-    journal: Journal,
+    settings: Arc<DeploymentSettings>,
+    journal: WriteAheadLog,
     events: EventSender,
     discovery: watch::Sender<SocketAddr>,
     next_number: u64,
@@ -140,13 +140,13 @@
     report_client: ReportClient,
     /// By message number and attempt.
     calls: BTreeMap<(u64, u32), InFlightCall>,
-    idle_connections: IdleConnections,
+    idle_connections: IdleConnectionPool,
     last_maintenance: Instant,
     interval_stats: IntervalStats,
     recovery_stats: RecoveryStats,
     metrics: Metrics,
-    taken_out: TakenOut,
-    last_list: LastList,
+    taken_out: DisabledEndpoints,
+    last_list: EndpointListCache,
     /// Whether client connections are accepted.
     accepting: bool,
     target_ids: HashMap<String, TargetId>,
@@ -155,7 +155,7 @@
     stage: watch::Sender<LifecycleStage>,
     terminated_at: Option<Instant>,
     /// The lock of the write-ahead log and the listener for clients, which a successor takes over.
-    lock: Option<Lock>,
+    lock: Option<LogLock>,
     listener: Option<OwnedFd>,
     successor: Option<UnixStream>,
     connection_limit: ConnectionLimit,
@@ -167,23 +167,27 @@
 /// until the process is told to end or has handed over to a successor and has nothing left to do.
 pub(crate) async fn run(
     config: Config, events: EventSender, mut receiver: UnboundedReceiver<NodeEvent>,
-) -> io::Result<Rest> {
-    if let Some(address) = config.admin {
+) -> io::Result<ExitReason> {
+    if let Some(address) = config.admin_address {
         tokio::spawn(admin_server::serve(address, events.clone()));
     }
-    let (format, socket_path) = (upgrade::format_of(&config.settings), upgrade::meeting_point(&config.state));
+    let (format, socket_path) = (
+        hot_restart::state_format(&config.settings),
+        hot_restart::takeover_socket_path(&config.state_directory),
+    );
     let (mut node, listener) = loop {
-        match upgrade::begin(&config.state, &socket_path, &format).await? {
-            Start::Alone(lock) => break (Node::restored(&config, &events, lock)?, None),
-            Start::Successor(offer) => match Node::succeeding(&config, &events, *offer) {
+        match hot_restart::acquire_ownership(&config.state_directory, &socket_path, &format).await? {
+            StartMode::ColdStart(lock) => break (Node::restored(&config, &events, lock)?, None),
+            StartMode::Takeover(offer) => match Node::take_over(&config, &events, *offer) {
                 Ok((node, listener)) => break (node, Some(listener)),
                 Err(error) => eprintln!("upgrade: cannot take over from the running process: {error}"),
             },
         }
     };
-    let discovery_client = discovery_client::client(&node.settings.settings, events.clone());
-    let discovery_task =
-        tokio::spawn(discovery_client.run(node.discovery.subscribe(), config.known.known_version()));
+    let discovery_client = discovery_client::build_client(&node.settings.settings, events.clone());
+    let discovery_task = tokio::spawn(
+        discovery_client.run(node.discovery.subscribe(), config.known_endpoints.known_version()),
+    );
     let mut batch = Vec::new();
     let listener = match listener {
         Some(listener) => TcpListener::from_std(listener)?,
@@ -193,7 +197,7 @@
             if let Ok(Some(first)) = timeout(FIRST_LIST_TIMEOUT, receiver.recv()).await {
                 batch.push(first);
             }
-            TcpListener::bind(config.listen).await?
+            TcpListener::bind(config.listen_address).await?
         }
     };
     node.listener = Some(listener.as_fd().try_clone_to_owned()?);
@@ -204,19 +208,19 @@
     let accept_task =
         tokio::spawn(client_server::serve(listener, Arc::new(context), node.connection_limit.clone()));
     node.accepting = true;
-    let successor_listener = upgrade::await_successor(&socket_path, format, events);
+    let successor_listener = hot_restart::listen_for_successors(&socket_path, format, events);
     if let Err(error) = &successor_listener {
         eprintln!("upgrade: no successor can take over while this process runs: {error}");
     }
     while !node.may_exit(accept_task.is_finished()) {
         node.run_round(&mut batch);
         if let Some(successor) = node.successor.take() {
-            match node.hand_over(&successor) {
+            match node.offer_takeover(&successor) {
                 Ok(()) => {
                     eprintln!("upgrade: a new version has taken over");
                     discovery_task.abort();
                     successor_listener.iter().for_each(JoinHandle::abort);
-                    return node.into_remainder().serve(successor, receiver).await;
+                    return node.into_draining_process().run(successor, receiver).await;
                 }
                 Err(error) => eprintln!("upgrade: the successor could not take over: {error}"),
             }
@@ -225,24 +229,26 @@
         tokio::select! {
             biased;
             // Polled first, since this writes the notices that the round has issued.
-            numbers = node.report_client.taken() => batch.push(NodeEvent::NoticesAcknowledged { numbers }),
+            numbers = node.report_client.acknowledged() => batch.push(NodeEvent::NoticesAcknowledged { numbers }),
             _ = receiver.recv_many(&mut batch, MAX_EVENTS_PER_ROUND) => {}
             () = sleep_until(wake) => {}
         }
         node.overload.record_delay(wake.elapsed());
     }
-    Ok(Rest::Done)
+    Ok(ExitReason::Completed)
 }
 
 impl Node {
     fn new(
         config: &Config, events: &EventSender, clock: Clock, policy: DeliveryPolicy,
-    ) -> io::Result<(Node, BTreeMap<u64, Restored>)> {
+    ) -> io::Result<(Node, BTreeMap<u64, RestoredMessage>)> {
         let settings = &config.settings.settings;
-        let room = config.disk_bytes.saturating_sub(out::ROOM + last_list::room(&config.known));
-        let (journal, restored) = Journal::open(&config.state, room, settings.max_attempts)?;
-        let discovery = watch::Sender::new(config.discovery);
-        let conn_idle = Duration::from_micros(settings.connection_idle);
+        let room = config.disk_bytes.saturating_sub(
+            disabled_endpoints::RESERVED_BYTES + endpoint_list_cache::reserved_bytes(&config.known_endpoints),
+        );
+        let (journal, restored) = WriteAheadLog::open(&config.state_directory, room, settings.max_attempts)?;
+        let discovery = watch::Sender::new(config.discovery_address);
+        let conn_idle = Duration::from_micros(settings.connection_idle_timeout);
         let node = Node {
             clock,
             policy,
@@ -257,13 +263,13 @@
             pending_notices: BTreeMap::new(),
             unsent_notices: BTreeSet::new(),
             calls: BTreeMap::new(),
-            idle_connections: IdleConnections::new(conn_idle, config.sockets / 4),
+            idle_connections: IdleConnectionPool::new(conn_idle, config.max_sockets / 4),
             last_maintenance: Instant::now(),
             interval_stats: IntervalStats::default(),
             recovery_stats: RecoveryStats::default(),
             metrics: Metrics::new(&config.settings.class_names),
-            taken_out: TakenOut::open(&config.state)?,
-            last_list: LastList::open(&config.state, &config.known),
+            taken_out: DisabledEndpoints::open(&config.state_directory)?,
+            last_list: EndpointListCache::open(&config.state_directory, &config.known_endpoints),
             accepting: false,
             target_ids: HashMap::new(),
             endpoints: Vec::new(),
@@ -273,7 +279,7 @@
             lock: None,
             listener: None,
             successor: None,
-            connection_limit: ConnectionLimit::new(config.sockets / 2),
+            connection_limit: ConnectionLimit::new(config.max_sockets / 2),
             overload: OverloadMonitor::default(),
             actions: Vec::new(),
         };
@@ -281,12 +287,12 @@
     }
 
     /// Restores the state from the write-ahead log.
-    fn restored(config: &Config, events: &EventSender, lock: Lock) -> io::Result<Node> {
+    fn restored(config: &Config, events: &EventSender, lock: LogLock) -> io::Result<Node> {
         let clock = Clock::new();
         let policy = DeliveryPolicy::new(clock.now(), config.seed, config.settings.settings.clone());
         let (mut node, restored) = Node::new(config, events, clock, policy)?;
         node.lock = Some(lock);
-        node.update_endpoints(config.known.clone(), ListKind::Cached);
+        node.update_endpoints(config.known_endpoints.clone(), ListKind::Cached);
         node.recovery_stats = RecoveryStats::new(node.next_number, clock.now());
         for (number, message) in restored {
             node.restore(number, message);
@@ -299,8 +305,8 @@
     /// Handles all events of this round, lets the policy decide once, and executes its actions.
     fn run_round(&mut self, batch: &mut Vec<NodeEvent>) {
         let round_started = self.clock.now();
-        self.notify_policy(Event::Late {
-            by: (self.overload.event_loop_lag() + MAX_TIMER_DELAY).as_micros() as Micros,
+        self.notify_policy(Event::ProcessingLag {
+            lag: (self.overload.event_loop_lag() + MAX_TIMER_DELAY).as_micros() as Micros,
         });
         for event in batch.drain(..) {
             self.handle_event(event);
@@ -324,7 +330,7 @@
         self.interval_stats.longest_round = self.interval_stats.longest_round.max(took);
         if self.last_maintenance.elapsed() > MAINTENANCE_INTERVAL {
             self.last_maintenance = Instant::now();
-            self.idle_connections.sweep();
+            self.idle_connections.evict_expired();
             let line = self.interval_stats.take_line(&Gauges {
                 recovery: self.recovery_stats,
                 held_messages: self.messages.len(),
@@ -353,12 +359,12 @@
             NodeEvent::CallEnded(end) => self.call_ended(end),
             NodeEvent::List(list) => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
-                self.last_list.note(&list, |more| self.journal.give_up_room(more));
+                self.last_list.update(&list, |more| self.journal.release_space(more));
                 self.update_endpoints(list, kind);
             }
             NodeEvent::NoticesAcknowledged { numbers } => self.notices_acknowledged(numbers),
             NodeEvent::Connected { number, attempt, target, proceed } => {
-                let may_go = self.policy.may_go(self.clock.now(), number, target);
+                let may_go = self.policy.may_still_send(self.clock.now(), number, target);
                 let _ = proceed.send(may_go && self.log_attempt_start(number, attempt));
             }
             NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
@@ -377,7 +383,7 @@
                     self.terminated_at = Some(Instant::now());
                     self.stage.send_replace(LifecycleStage::Draining);
                     let by = self.clock.now() + TERMINATE_TIMEOUT.as_micros() as Micros;
-                    self.notify_policy(Event::Stopping { by });
+                    self.notify_policy(Event::Shutdown { at: by });
                 }
             }
         }
@@ -390,7 +396,7 @@
         };
         let mut endpoints = Vec::with_capacity(list.servers.len());
         for entry in list.servers {
-            let zone = self.settings.zone(&entry.zone);
+            let zone = self.settings.zone_number(&entry.zone);
             let known = self.target_ids.get(&entry.id).copied();
             let target = known.unwrap_or(self.endpoints.len() as TargetId);
             if let Some(server) = self.endpoints.get_mut(target as usize) {
@@ -398,7 +404,7 @@
             } else {
                 self.endpoints.push(KnownEndpoint { address: entry.addr, zone, generation: 0 });
                 if self.taken_out.contains(&entry.id) {
-                    self.notify_policy(Event::ByHand { target, out: true });
+                    self.notify_policy(Event::EndpointAdminState { target, disabled: true });
                 }
                 self.target_ids.insert(entry.id, target);
             }
@@ -410,7 +416,7 @@
                 state: match entry.state {
                     ServerState::Active => EndpointState::Ready,
                     ServerState::Leaving => EndpointState::Draining,
-                    ServerState::Left => EndpointState::Gone,
+                    ServerState::Left => EndpointState::Removed,
                 },
                 rate: entry.weight,
             });
@@ -428,7 +434,7 @@
             }
             AdminRequest::Metrics => AdminResponse::new(
                 StatusCode::OK,
-                self.metrics.render(self.messages.len(), self.policy.pool()),
+                self.metrics.render(self.messages.len(), self.policy.endpoint_counts()),
             ),
             AdminRequest::Disable(name) => self.set_disabled(&name, true),
             AdminRequest::Enable(name) => self.set_disabled(&name, false),
@@ -440,10 +446,10 @@
     fn set_disabled(&mut self, name: &str, disabled: bool) -> AdminResponse {
         let target = self.target_ids.get(name).copied();
         let was_disabled = self.taken_out.contains(name);
-        if !was_disabled && !target.is_some_and(|target| self.policy.lists(target)) {
+        if !was_disabled && !target.is_some_and(|target| self.policy.is_listed(target)) {
             return AdminResponse::new(StatusCode::NOT_FOUND, "no such endpoint\n");
         }
-        if let Err(error) = self.taken_out.note(name, disabled) {
+        if let Err(error) = self.taken_out.set_disabled(name, disabled) {
             eprintln!("admin: state of endpoint {name} not changed: {error}");
             return AdminResponse::new(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n"));
         }
@@ -451,23 +457,24 @@
         if let Some(target) = target.filter(|_| was_disabled != disabled) {
             eprintln!("admin: endpoint {name} is {state}");
             self.endpoints[target as usize].generation += 1;
-            self.notify_policy(Event::ByHand { target, out: disabled });
+            self.notify_policy(Event::EndpointAdminState { target, disabled });
         }
         AdminResponse::new(StatusCode::OK, format!("{name} is {state}\n"))
     }
 
     /// Restores one message from the write-ahead log.
-    fn restore(&mut self, number: u64, restored: Restored) {
-        let Restored { accepted, attempts, notice } = restored;
+    fn restore(&mut self, number: u64, restored: RestoredMessage) {
+        let RestoredMessage { accepted, attempts, notice } = restored;
         if let Some(notice) = notice {
-            let order_key = order_key(&accepted.key);
+            let order_key = order_key_hash(&accepted.order_key);
             self.pending_notices.insert(number, PendingNotice { id: accepted.id, order_key, notice });
             self.unsent_notices.insert(number);
             return;
         }
-        let message = Message::of(accepted, &self.settings, &self.clock);
+        let message = Message::from_accepted(accepted, &self.settings, &self.clock);
         let class = message.class;
-        let (order_key, destination, expires) = (message.order_key(), message.destination, message.expires);
+        let (order_key, destination, expires) =
+            (message.order_key_hash(), message.destination, message.expires_at);
         let held = HeldMessage {
             message: Arc::new(message),
             acceptance: Acceptance::Accepted,
@@ -478,15 +485,15 @@
         self.messages.insert(number, held);
         if class >= self.settings.class_names.len() {
             // The settings have changed since and no longer name its class, so its guarantees are unknown.
-            return self.end_undelivered(number, Notice::GivenUp);
+            return self.end_undelivered(number, NonDeliveryNotice::GivenUp);
         }
-        let first = attempts.iter().find(|attempt| attempt.fate != Some(Fate::NeverRan));
-        let first_run = first.map(|attempt| (self.clock.since_unix(attempt.at), attempt.zone));
+        let first = attempts.iter().find(|attempt| attempt.execution != Some(ExecutionStatus::NeverRan));
+        let first_run = first.map(|attempt| (self.clock.micros_at_unix(attempt.started_at), attempt.zone));
         let outcome = |fate| match fate {
-            Some(Fate::NeverRan) => Outcome::NotSent,
-            Some(Fate::MayHaveRun) | None => Outcome::Reset,
+            Some(ExecutionStatus::NeverRan) => Outcome::NotSent,
+            Some(ExecutionStatus::MayHaveRun) | None => Outcome::Reset,
         };
-        let attempts = attempts.iter().map(|attempt| outcome(attempt.fate)).collect();
+        let attempts = attempts.iter().map(|attempt| outcome(attempt.execution)).collect();
         let class = class as u32;
         self.notify_policy(Event::Restored {
             id: number,
@@ -501,10 +508,10 @@
 
     fn submit(&mut self, message: Arc<Message>, reply: oneshot::Sender<SubmitResponse>) {
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
-        if full || !self.journal.has_room(message.size()) {
+        if full || !self.journal.has_space_for(message.log_bytes()) {
             self.interval_stats.refused += 1;
             self.metrics.record_result(message.class, MessageResult::Shed);
-            let retry_in_ms = self.policy.advice(message.destination).div_ceil(1000);
+            let retry_in_ms = self.policy.retry_after(message.destination).div_ceil(1000);
             let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
             return;
         }
@@ -514,8 +521,8 @@
             id,
             class: message.class as u32,
             destination: message.destination,
-            order_key: message.order_key(),
-            expires: message.expires,
+            order_key: message.order_key_hash(),
+            expires: message.expires_at,
         };
         self.messages.insert(
             id,
@@ -540,7 +547,7 @@
             else {
                 continue;
             };
-            let accepted = Record::Accepted(held.message.accepted(&self.settings, &self.clock));
+            let accepted = LogRecord::Accepted(held.message.to_accepted(&self.settings, &self.clock));
             if let Err(error) = self.journal.append(number, &accepted) {
                 eprintln!("journal: message refused, as it cannot be recorded: {error}");
                 let _ = reply.send(SubmitResponse::Refused { retry_in_ms: 0 });
@@ -558,7 +565,7 @@
     fn response_ended(&mut self, number: u64, written: bool) {
         if !written {
             self.interval_stats.clients_gone += 1;
-            self.append_record(number, &Record::Over);
+            self.append_record(number, &LogRecord::Completed);
             self.pending_notices.remove(&number);
             self.unsent_notices.remove(&number);
             return self.discard_unaccepted(number);
@@ -576,7 +583,7 @@
         if let Some(PendingSend { attempt, target, .. }) = held.pending_send {
             self.notify_outcome(number, attempt, target, Outcome::NotSent, true);
         }
-        self.notify_policy(Event::Lapsed { id: number });
+        self.notify_policy(Event::Abandoned { id: number });
     }
 
     fn execute(&mut self, action: Action) {
@@ -598,10 +605,11 @@
                     self.notify_outcome(id, attempt, target, Outcome::NotSent, false);
                 }
             }
-            Action::Refuse { id, retry_after } => {
-                self.end_undelivered(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
-            }
-            Action::Fail { id } => self.end_undelivered(id, Notice::GivenUp),
+            Action::Refuse { id, retry_after } => self.end_undelivered(
+                id,
+                NonDeliveryNotice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) },
+            ),
+            Action::Fail { id } => self.end_undelivered(id, NonDeliveryNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             Action::CloseIdle { target } => self.idle_connections.close(target),
             Action::Log { text } => eprintln!("{text}"),
@@ -620,7 +628,7 @@
         else {
             return;
         };
-        let key = held.message.order_key();
+        let key = held.message.order_key_hash();
         if key != 0 && self.pending_notices.values().any(|pending| pending.order_key == key) {
             return;
         }
@@ -655,7 +663,8 @@
     fn log_attempt_start(&mut self, number: u64, attempt: u32) -> bool {
         let Some(call) = self.calls.get_mut(&(number, attempt)) else { return false };
         let zone = self.endpoints[call.target as usize].zone;
-        let attempt_start = Record::Begun { at: self.clock.unix(self.clock.now()), zone };
+        let attempt_start =
+            LogRecord::AttemptStarted { started_at: self.clock.unix_micros_at(self.clock.now()), zone };
         match self.journal.append(number, &attempt_start) {
             Ok(()) => call.started = true,
             Err(error) => eprintln!("journal: call not started, as it cannot be recorded: {error}"),
@@ -684,23 +693,24 @@
             address,
             message,
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
-            until: self.clock.instant(until),
+            timeout_at: self.clock.instant_at(until),
             connection,
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
-            era: generation,
+            reads_limit_reports: self.settings.rate_index.is_some()
+                && self.settings.share_left_index.is_some(),
+            generation,
         };
-        tokio::spawn(targets::call(call, cancelled, self.events.clone()));
+        tokio::spawn(calls::make_call(call, cancelled, self.events.clone()));
     }
 
     fn notify_outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
-        self.notify_policy(Event::Outcome {
+        self.notify_policy(Event::AttemptEnded {
             id,
             attempt,
             target,
             outcome,
             took: 0,
-            ended,
-            wait: 0,
+            message_ended: ended,
+            retry_after: 0,
             report: None,
         });
     }
@@ -721,61 +731,66 @@
                     held.message.class,
                     if delivered { MessageResult::Ok } else { MessageResult::Error },
                 );
-                self.append_record(end.number, &Record::Over);
+                self.append_record(end.number, &LogRecord::Completed);
             }
         } else if held && started {
-            let fate = if end.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.append_record(end.number, &Record::Ended(fate));
+            let fate =
+                if end.outcome.never_ran() { ExecutionStatus::NeverRan } else { ExecutionStatus::MayHaveRun };
+            self.append_record(end.number, &LogRecord::AttemptEnded(fate));
         }
         let now = self.clock.now();
-        self.notify_policy(Event::Outcome {
+        self.notify_policy(Event::AttemptEnded {
             id: end.number,
             attempt: end.attempt,
             target: end.target,
             outcome: end.outcome,
-            took: now.saturating_sub(self.clock.micros(end.started_at)),
-            ended: end.completes_message || !held,
+            took: now.saturating_sub(self.clock.micros_at(end.started_at)),
+            message_ended: end.completes_message || !held,
             // The wait counts from the arrival of the response, not from now.
-            wait: end.wait_until.map_or(0, |until| self.clock.micros(until).saturating_sub(now)),
+            retry_after: end.wait_until.map_or(0, |until| self.clock.micros_at(until).saturating_sub(now)),
             report: end.limit_report,
         });
     }
 
     /// Appends a record that a restart can do without. If it is missing, a restart assumes that an attempt
     /// may have run where it did not.
-    fn append_record(&mut self, number: u64, record: &Record) {
+    fn append_record(&mut self, number: u64, record: &LogRecord) {
         if let Err(error) = self.journal.append(number, record) {
             eprintln!("journal: {error}");
         }
     }
 
     /// Ends a message undelivered: by the response to its client if that is still due, otherwise by a notice.
-    fn end_undelivered(&mut self, number: u64, notice: Notice) {
+    fn end_undelivered(&mut self, number: u64, notice: NonDeliveryNotice) {
         let Some(held) = self.messages.remove(&number) else { return };
         let class = held.message.class;
         if let Acceptance::Undecided(reply) = held.acceptance {
             self.metrics.record_result(class, MessageResult::Shed);
-            let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
+            let retry_in_ms =
+                if let NonDeliveryNotice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             self.interval_stats.refused += 1;
             let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
             return;
         }
-        let ended =
-            if matches!(notice, Notice::GivenUp) { MessageResult::Error } else { MessageResult::Shed };
+        let ended = if matches!(notice, NonDeliveryNotice::GivenUp) {
+            MessageResult::Error
+        } else {
+            MessageResult::Shed
+        };
         self.metrics.record_result(class, ended);
-        self.recovery_stats.record_undelivered(number, held.message.expires, held.attempts);
-        let left = held.message.expires as i64 - self.clock.now() as i64;
+        self.recovery_stats.record_undelivered(number, held.message.expires_at, held.attempts);
+        let left = held.message.expires_at as i64 - self.clock.now() as i64;
         let line = self.interval_stats.record_undelivered(&held.message.id, notice, held.attempts, left);
         line.into_iter().for_each(|line| eprintln!("{line}"));
-        self.append_record(number, &Record::Noticed(notice));
+        self.append_record(number, &LogRecord::NoticeIssued(notice));
         let pending =
-            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key_hash(), notice };
         self.pending_notices.insert(number, pending);
         self.unsent_notices.insert(number);
     }
 
     fn send_notices(&mut self) {
-        while !self.unsent_notices.is_empty() && self.report_client.has_room() {
+        while !self.unsent_notices.is_empty() && self.report_client.has_capacity() {
             let numbers: Vec<u64> =
                 self.unsent_notices.iter().copied().take(MAX_NOTICES_PER_REPORT).collect();
             let mut lines = String::new();
@@ -783,9 +798,11 @@
                 self.unsent_notices.remove(number);
                 let PendingNotice { id, notice, .. } = &self.pending_notices[number];
                 let line = match notice {
-                    Notice::GivenUp => json!({"message": id, "outcome": "given_up"}),
-                    Notice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
-                    Notice::HandedBack { retry_in_ms } => {
+                    NonDeliveryNotice::GivenUp => json!({"message": id, "outcome": "given_up"}),
+                    NonDeliveryNotice::HandedBack { retry_in_ms: 0 } => {
+                        json!({"message": id, "outcome": "handed_back"})
+                    }
+                    NonDeliveryNotice::HandedBack { retry_in_ms } => {
                         json!({"message": id, "outcome": "handed_back", "retry_in_ms": retry_in_ms})
                     }
                 };
@@ -799,10 +816,10 @@
     /// that.
     fn notices_acknowledged(&mut self, numbers: Vec<u64>) {
         for number in numbers {
-            self.append_record(number, &Record::Over);
+            self.append_record(number, &LogRecord::Completed);
             let key = self.pending_notices.remove(&number).map_or(0, |notice| notice.order_key);
             let is_next = |held: &HeldMessage| {
-                key != 0 && held.pending_send.is_some() && held.message.order_key() == key
+                key != 0 && held.pending_send.is_some() && held.message.order_key_hash() == key
             };
             let waiting = self.messages.iter().find(|(_, held)| is_next(held)).map(|(number, _)| *number);
             waiting.into_iter().for_each(|next| self.start_pending_send(next));
@@ -829,7 +846,7 @@
     }
 
     fn next_wake(&self) -> Instant {
-        let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
+        let timer = self.timers.first().map(|(at, _)| self.clock.instant_at(*at));
         let stop = self.terminated_at.map(|at| {
             let steps =
                 [at + ACCEPT_AFTER_TERMINATE, at + 2 * ACCEPT_AFTER_TERMINATE, at + TERMINATE_TIMEOUT];
