--- a/src/bin/foldtrack/admission.rs
+++ b/src/bin/foldtrack/admission.rs
@@ -24,23 +24,23 @@
     waiters: VecDeque<oneshot::Sender<()>>,
     /// A task that counts the turns is running.
     turn_task_running: bool,
-    /// Which end of the queue was chosen last: the oldest waiter or the newest.
-    pick_oldest: bool,
+    /// Whether the waiter chosen last was the oldest, rather than the newest.
+    picked_oldest: bool,
 }
 
 impl Queue {
     /// Takes the oldest and the newest waiter alternately: the newest can still be answered in time, while
     /// the client of the oldest may have disconnected.
     fn next_waiter(&mut self) -> Option<oneshot::Sender<()>> {
-        self.pick_oldest = !self.pick_oldest;
-        if self.pick_oldest {
+        self.picked_oldest = !self.picked_oldest;
+        if self.picked_oldest {
             self.waiters.pop_front()
         } else {
             self.waiters.pop_back()
         }
     }
 
-    /// Starts the next turn. Returns whether turns have to be counted any longer.
+    /// Starts the next turn. Returns whether to go on counting turns.
     fn start_turn(&mut self) -> bool {
         let idle = self.remaining == self.per_turn;
         self.remaining = self.per_turn;
@@ -65,7 +65,7 @@
             remaining: 0,
             waiters: VecDeque::new(),
             turn_task_running: false,
-            pick_oldest: false,
+            picked_oldest: false,
         };
         AdmissionLimiter(Arc::new(Mutex::new(queue)))
     }
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -68,16 +68,15 @@
     pub read_limiter: AdmissionLimiter,
 }
 
-/// Connections accepted, and requests read, per turn of the event loop: about 1 ms of work. Even with 1 % of
-/// a core, a turn then stays well below the 300 ms within which a notice is due.
+/// Connections accepted, and requests read, per turn of the event loop: about 1 ms of work. Even with 1% of a
+/// core, a turn then stays well below the 300 ms within which a notice is due.
 const ACCEPTS_PER_TURN: usize = 2;
 pub(crate) const READS_PER_TURN: usize = 8;
 /// Length of the listener's accept queue without overload: the length that the listener is bound with.
 const MAX_ACCEPT_BACKLOG: u32 = 1024;
 
 /// Length of the accept queue that can be accepted in time for a response, given the mean turn time.
-/// Connections beyond it are rejected by the kernel at no cost, and a longer queue would fill with clients
-/// that have given up.
+/// Connections beyond it cost no processor time, and a longer queue would fill with clients that have given up.
 fn accept_backlog(turn: Duration) -> u32 {
     let turns = MAX_READ_DELAY.as_secs_f64() / turn.as_secs_f64().max(1e-6);
     ((turns * ACCEPTS_PER_TURN as f64) as u32).clamp(1, MAX_ACCEPT_BACKLOG)
@@ -221,8 +220,8 @@
     client_gone: bool,
 }
 
-#[derive(Clone, Default)]
 /// State of a connection, shared by its observer, its service and its main loop.
+#[derive(Clone, Default)]
 struct ConnectionState(Arc<Mutex<RequestProgress>>);
 
 /// Tracks the requests of a connection and delays the read of each until it is admitted.
@@ -431,11 +430,11 @@
     }
 }
 
-/// Parses a request into a message, or returns the status to reject it with.
+/// Parses a request into a message, or returns the status of the response that refuses it.
 async fn read_message(
     request: Request<Incoming>, context: &ServerContext, queue_time: Duration,
 ) -> Result<Message, StatusCode> {
-    const BAD_REQUEST_STATUS: StatusCode = StatusCode::BAD_REQUEST;
+    const BAD_REQUEST: StatusCode = StatusCode::BAD_REQUEST;
     // The client's time counts from when it sent the request: the arrival of the body and the wait to be read
     // are part of it.
     let sent_at = context
@@ -458,14 +457,14 @@
     let order_key = order_key.rsplit('/').next().unwrap_or("").to_string();
     let header = |name: &str| -> Result<Option<String>, StatusCode> {
         let Some(value) = request.headers().get(name) else { return Ok(None) };
-        Ok(Some(value.to_str().map_err(|_| BAD_REQUEST_STATUS)?.trim().to_string()))
+        Ok(Some(value.to_str().map_err(|_| BAD_REQUEST)?.trim().to_string()))
     };
-    let id = header("X-Request-Id")?.filter(|id| !id.is_empty()).ok_or(BAD_REQUEST_STATUS)?;
-    let time_left = header("X-Deadline")?.and_then(|t| parse_duration(&t)).ok_or(BAD_REQUEST_STATUS)?;
-    let destination = header("X-Consignee")?.and_then(|t| parse_destination(&t)).ok_or(BAD_REQUEST_STATUS)?;
+    let id = header("X-Request-Id")?.filter(|id| !id.is_empty()).ok_or(BAD_REQUEST)?;
+    let time_left = header("X-Deadline")?.and_then(|t| parse_duration(&t)).ok_or(BAD_REQUEST)?;
+    let destination = header("X-Consignee")?.and_then(|t| parse_destination(&t)).ok_or(BAD_REQUEST)?;
     let idempotency_key = header("Idempotency-Key")?;
     if class_settings.retry_safety == RetrySafety::Keyed && idempotency_key.is_none() {
-        return Err(BAD_REQUEST_STATUS);
+        return Err(BAD_REQUEST);
     }
     let retry_header = header("X-Retry")?;
     // The length of the body must be unambiguous, or what a peer appends to it could pass for another
@@ -480,9 +479,9 @@
     let body = match body.map_err(|_| StatusCode::REQUEST_TIMEOUT)? {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => return Err(StatusCode::PAYLOAD_TOO_LARGE),
-        Err(_) => return Err(BAD_REQUEST_STATUS),
+        Err(_) => return Err(BAD_REQUEST),
     };
-    let expires_at = sent_at.checked_add(time_left).ok_or(BAD_REQUEST_STATUS)?;
+    let expires_at = sent_at.checked_add(time_left).ok_or(BAD_REQUEST)?;
     Ok(Message { id, class, destination, order_key, idempotency_key, retry_header, expires_at, body })
 }
 
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Log lines on single undelivered messages per interval.
-const UNDELIVERED_LINES: u32 = 10;
+const MAX_UNDELIVERED_LINES: u32 = 10;
 
 /// Counters since the last interval log line.
 #[derive(Debug, Default)]
@@ -107,20 +107,20 @@
     pub fn record_call(&mut self, outcome: Outcome, took: Duration, idle_for: Option<Duration>) {
         self.calls_by_outcome[outcome_index(outcome)] += 1;
         self.call_time_by_outcome[outcome_index(outcome)] += took;
-        let Some(span) = idle_for else { return };
+        let Some(idle_time) = idle_for else { return };
         match outcome {
             Outcome::Reset => {
                 self.stale_resets += 1;
                 self.shortest_stale_idle =
-                    Some(self.shortest_stale_idle.map_or(span, |shortest| shortest.min(span)));
+                    Some(self.shortest_stale_idle.map_or(idle_time, |shortest| shortest.min(idle_time)));
             }
-            Outcome::Ok => self.longest_safe_idle = self.longest_safe_idle.max(span),
+            Outcome::Ok => self.longest_safe_idle = self.longest_safe_idle.max(idle_time),
             _ => {}
         }
     }
 
     /// Counts an accepted message that ends by a notice. Returns a log line for it, up to
-    /// [`UNDELIVERED_LINES`] per interval.
+    /// [`MAX_UNDELIVERED_LINES`] per interval.
     pub fn record_undelivered(
         &mut self, id: &str, notice: NonDeliveryNotice, attempts: u32, left: i64,
     ) -> Option<String> {
@@ -132,7 +132,7 @@
             NonDeliveryNotice::GivenUp => self.given_up += 1,
             NonDeliveryNotice::HandedBack { .. } => self.handed_back += 1,
         }
-        let below_limit = self.given_up + self.handed_back <= UNDELIVERED_LINES;
+        let below_limit = self.given_up + self.handed_back <= MAX_UNDELIVERED_LINES;
         below_limit
             .then(|| format!("message {id}: {result} after {attempts} attempts, {left} us before its time"))
     }
@@ -231,7 +231,7 @@
         let lines: Vec<_> = (0..50)
             .filter_map(|_| interval_stats.record_undelivered("m1", NonDeliveryNotice::GivenUp, 2, 3_000))
             .collect();
-        assert_eq!(lines.len(), UNDELIVERED_LINES as usize);
+        assert_eq!(lines.len(), MAX_UNDELIVERED_LINES as usize);
         assert_eq!(lines[0], "message m1: given up after 2 attempts, 3000 us before its time");
         let quiet = Gauges {
             recovery: RecoveryStats::default(),
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -60,8 +60,8 @@
 }
 
 /// Upper bound on the tasks that the runtime polls before it checks the node, sockets and timers again. One
-/// task takes about 0.1 ms: with 1 % of a core the node runs again within 100 ms, and the checks cost about 1
-/// % of that time.
+/// task takes about 0.1 ms: with 1% of a core the node runs again within 100 ms, and the checks cost about 1%
+/// of that time.
 const TASK_POLLS_PER_EVENT_CHECK: u32 = 8;
 
 /// Replaces this process by a fresh start from the write-ahead log. Called when the successor, which owned
--- a/src/bin/foldtrack/metrics.rs
+++ b/src/bin/foldtrack/metrics.rs
@@ -14,8 +14,8 @@
     Error,
 }
 
-#[derive(Debug, Default)]
 /// Counters of one class of message.
+#[derive(Debug, Default)]
 struct ClassCounters {
     name: String,
     ok: u64,
@@ -56,15 +56,15 @@
     }
 
     /// Renders all metrics, one a line; `active` messages are accepted and not yet ended.
-    pub fn render(&self, active: usize, pool: EndpointCounts) -> String {
+    pub fn render(&self, active: usize, endpoints: EndpointCounts) -> String {
         let mut text = String::new();
         for ClassCounters { name, ok, shed, errors, tries } in &self.0 {
             for (counter, count) in [("ok", ok), ("shed", shed), ("errors", errors), ("tries", tries)] {
                 let _ = writeln!(text, "responses.{name}.{counter}={count}");
             }
         }
-        let EndpointCounts { listed, ejected: avoided } = pool;
-        let _ = writeln!(text, "active={active}\npool_size={listed}\npool_ejected={avoided}");
+        let EndpointCounts { listed, ejected } = endpoints;
+        let _ = writeln!(text, "active={active}\npool_size={listed}\npool_ejected={ejected}");
         text
     }
 }
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -125,9 +125,9 @@
     clock: Clock,
     policy: DeliveryPolicy,
     settings: Arc<DeploymentSettings>,
-    journal: WriteAheadLog,
+    write_ahead_log: WriteAheadLog,
     events: EventSender,
-    discovery: watch::Sender<SocketAddr>,
+    discovery_address: watch::Sender<SocketAddr>,
     next_number: u64,
     /// Messages that are accepted or may still be, by message number. Numbers grow in the order of arrival.
     messages: BTreeMap<u64, HeldMessage>,
@@ -145,8 +145,8 @@
     interval_stats: IntervalStats,
     recovery_stats: RecoveryStats,
     metrics: Metrics,
-    taken_out: DisabledEndpoints,
-    last_list: EndpointListCache,
+    disabled_endpoints: DisabledEndpoints,
+    endpoint_list_cache: EndpointListCache,
     /// Whether client connections are accepted.
     accepting: bool,
     target_ids: HashMap<String, TargetId>,
@@ -186,7 +186,7 @@
     };
     let discovery_client = discovery_client::build_client(&node.settings.settings, events.clone());
     let discovery_task = tokio::spawn(
-        discovery_client.run(node.discovery.subscribe(), config.known_endpoints.known_version()),
+        discovery_client.run(node.discovery_address.subscribe(), config.known_endpoints.known_version()),
     );
     let mut batch = Vec::new();
     let listener = match listener {
@@ -243,33 +243,34 @@
         config: &Config, events: &EventSender, clock: Clock, policy: DeliveryPolicy,
     ) -> io::Result<(Node, BTreeMap<u64, RestoredMessage>)> {
         let settings = &config.settings.settings;
-        let room = config.disk_bytes.saturating_sub(
+        let max_log_bytes = config.disk_bytes.saturating_sub(
             disabled_endpoints::RESERVED_BYTES + endpoint_list_cache::reserved_bytes(&config.known_endpoints),
         );
-        let (journal, restored) = WriteAheadLog::open(&config.state_directory, room, settings.max_attempts)?;
-        let discovery = watch::Sender::new(config.discovery_address);
-        let conn_idle = Duration::from_micros(settings.connection_idle_timeout);
+        let (write_ahead_log, restored) =
+            WriteAheadLog::open(&config.state_directory, max_log_bytes, settings.max_attempts)?;
+        let discovery_address = watch::Sender::new(config.discovery_address);
+        let idle_timeout = Duration::from_micros(settings.connection_idle_timeout);
         let node = Node {
             clock,
             policy,
             settings: config.settings.clone(),
-            journal,
+            write_ahead_log,
             events: events.clone(),
-            report_client: ReportClient::new(discovery.subscribe()),
-            discovery,
+            report_client: ReportClient::new(discovery_address.subscribe()),
+            discovery_address,
             next_number: restored.last_key_value().map_or(1, |(number, _)| number + 1),
             messages: BTreeMap::new(),
             undecided: Vec::new(),
             pending_notices: BTreeMap::new(),
             unsent_notices: BTreeSet::new(),
             calls: BTreeMap::new(),
-            idle_connections: IdleConnectionPool::new(conn_idle, config.max_sockets / 4),
+            idle_connections: IdleConnectionPool::new(idle_timeout, config.max_sockets / 4),
             last_maintenance: Instant::now(),
             interval_stats: IntervalStats::default(),
             recovery_stats: RecoveryStats::default(),
             metrics: Metrics::new(&config.settings.class_names),
-            taken_out: DisabledEndpoints::open(&config.state_directory)?,
-            last_list: EndpointListCache::open(&config.state_directory, &config.known_endpoints),
+            disabled_endpoints: DisabledEndpoints::open(&config.state_directory)?,
+            endpoint_list_cache: EndpointListCache::open(&config.state_directory, &config.known_endpoints),
             accepting: false,
             target_ids: HashMap::new(),
             endpoints: Vec::new(),
@@ -359,13 +360,13 @@
             NodeEvent::CallEnded(end) => self.call_ended(end),
             NodeEvent::List(list) => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
-                self.last_list.update(&list, |more| self.journal.release_space(more));
+                self.endpoint_list_cache.update(&list, |more| self.write_ahead_log.release_space(more));
                 self.update_endpoints(list, kind);
             }
             NodeEvent::NoticesAcknowledged { numbers } => self.notices_acknowledged(numbers),
             NodeEvent::Connected { number, attempt, target, proceed } => {
-                let may_go = self.policy.may_still_send(self.clock.now(), number, target);
-                let _ = proceed.send(may_go && self.log_attempt_start(number, attempt));
+                let may_send = self.policy.may_still_send(self.clock.now(), number, target);
+                let _ = proceed.send(may_send && self.log_attempt_start(number, attempt));
             }
             NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
             // The admin server has stopped waiting and has responded with 503.
@@ -375,15 +376,15 @@
             }
             NodeEvent::DiscoveryAddress(address) => {
                 eprintln!("discovery: address changed to {address}");
-                self.discovery.send_replace(address);
+                self.discovery_address.send_replace(address);
             }
             NodeEvent::Successor(stream) => self.successor = Some(stream),
             NodeEvent::Terminate => {
                 if self.terminated_at.is_none() {
                     self.terminated_at = Some(Instant::now());
                     self.stage.send_replace(LifecycleStage::Draining);
-                    let by = self.clock.now() + TERMINATE_TIMEOUT.as_micros() as Micros;
-                    self.notify_policy(Event::Shutdown { at: by });
+                    let exit_at = self.clock.now() + TERMINATE_TIMEOUT.as_micros() as Micros;
+                    self.notify_policy(Event::Shutdown { at: exit_at });
                 }
             }
         }
@@ -399,11 +400,11 @@
             let zone = self.settings.zone_number(&entry.zone);
             let known = self.target_ids.get(&entry.id).copied();
             let target = known.unwrap_or(self.endpoints.len() as TargetId);
-            if let Some(server) = self.endpoints.get_mut(target as usize) {
-                (server.address, server.zone) = (entry.addr, zone);
+            if let Some(known_endpoint) = self.endpoints.get_mut(target as usize) {
+                (known_endpoint.address, known_endpoint.zone) = (entry.addr, zone);
             } else {
                 self.endpoints.push(KnownEndpoint { address: entry.addr, zone, generation: 0 });
-                if self.taken_out.contains(&entry.id) {
+                if self.disabled_endpoints.contains(&entry.id) {
                     self.notify_policy(Event::EndpointAdminState { target, disabled: true });
                 }
                 self.target_ids.insert(entry.id, target);
@@ -445,11 +446,11 @@
     /// process.
     fn set_disabled(&mut self, name: &str, disabled: bool) -> AdminResponse {
         let target = self.target_ids.get(name).copied();
-        let was_disabled = self.taken_out.contains(name);
+        let was_disabled = self.disabled_endpoints.contains(name);
         if !was_disabled && !target.is_some_and(|target| self.policy.is_listed(target)) {
             return AdminResponse::new(StatusCode::NOT_FOUND, "no such endpoint\n");
         }
-        if let Err(error) = self.taken_out.set_disabled(name, disabled) {
+        if let Err(error) = self.disabled_endpoints.set_disabled(name, disabled) {
             eprintln!("admin: state of endpoint {name} not changed: {error}");
             return AdminResponse::new(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n"));
         }
@@ -489,7 +490,7 @@
         }
         let first = attempts.iter().find(|attempt| attempt.execution != Some(ExecutionStatus::NeverRan));
         let first_run = first.map(|attempt| (self.clock.micros_at_unix(attempt.started_at), attempt.zone));
-        let outcome = |fate| match fate {
+        let outcome = |execution| match execution {
             Some(ExecutionStatus::NeverRan) => Outcome::NotSent,
             Some(ExecutionStatus::MayHaveRun) | None => Outcome::Reset,
         };
@@ -508,7 +509,7 @@
 
     fn submit(&mut self, message: Arc<Message>, reply: oneshot::Sender<SubmitResponse>) {
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
-        if full || !self.journal.has_space_for(message.log_bytes()) {
+        if full || !self.write_ahead_log.has_space_for(message.log_bytes()) {
             self.interval_stats.refused += 1;
             self.metrics.record_result(message.class, MessageResult::Shed);
             let retry_in_ms = self.policy.retry_after(message.destination).div_ceil(1000);
@@ -548,15 +549,15 @@
                 continue;
             };
             let accepted = LogRecord::Accepted(held.message.to_accepted(&self.settings, &self.clock));
-            if let Err(error) = self.journal.append(number, &accepted) {
+            if let Err(error) = self.write_ahead_log.append(number, &accepted) {
                 eprintln!("journal: message refused, as it cannot be recorded: {error}");
                 let _ = reply.send(SubmitResponse::Refused { retry_in_ms: 0 });
                 self.discard_unaccepted(number);
                 continue;
             }
-            let receipt = ResponseGuard::new(number, self.events.clone());
+            let guard = ResponseGuard::new(number, self.events.clone());
             // If the client has disconnected, the guard is dropped here and reports that.
-            let _ = reply.send(SubmitResponse::Accepted(receipt));
+            let _ = reply.send(SubmitResponse::Accepted(guard));
         }
     }
 
@@ -665,7 +666,7 @@
         let zone = self.endpoints[call.target as usize].zone;
         let attempt_start =
             LogRecord::AttemptStarted { started_at: self.clock.unix_micros_at(self.clock.now()), zone };
-        match self.journal.append(number, &attempt_start) {
+        match self.write_ahead_log.append(number, &attempt_start) {
             Ok(()) => call.started = true,
             Err(error) => eprintln!("journal: call not started, as it cannot be recorded: {error}"),
         }
@@ -734,9 +735,9 @@
                 self.append_record(end.number, &LogRecord::Completed);
             }
         } else if held && started {
-            let fate =
+            let execution =
                 if end.outcome.never_ran() { ExecutionStatus::NeverRan } else { ExecutionStatus::MayHaveRun };
-            self.append_record(end.number, &LogRecord::AttemptEnded(fate));
+            self.append_record(end.number, &LogRecord::AttemptEnded(execution));
         }
         let now = self.clock.now();
         self.notify_policy(Event::AttemptEnded {
@@ -755,7 +756,7 @@
     /// Appends a record that a restart can do without. If it is missing, a restart assumes that an attempt
     /// may have run where it did not.
     fn append_record(&mut self, number: u64, record: &LogRecord) {
-        if let Err(error) = self.journal.append(number, record) {
+        if let Err(error) = self.write_ahead_log.append(number, record) {
             eprintln!("journal: {error}");
         }
     }
@@ -772,15 +773,15 @@
             let _ = reply.send(SubmitResponse::Refused { retry_in_ms });
             return;
         }
-        let ended = if matches!(notice, NonDeliveryNotice::GivenUp) {
+        let result = if matches!(notice, NonDeliveryNotice::GivenUp) {
             MessageResult::Error
         } else {
             MessageResult::Shed
         };
-        self.metrics.record_result(class, ended);
+        self.metrics.record_result(class, result);
         self.recovery_stats.record_undelivered(number, held.message.expires_at, held.attempts);
-        let left = held.message.expires_at as i64 - self.clock.now() as i64;
-        let line = self.interval_stats.record_undelivered(&held.message.id, notice, held.attempts, left);
+        let time_left = held.message.expires_at as i64 - self.clock.now() as i64;
+        let line = self.interval_stats.record_undelivered(&held.message.id, notice, held.attempts, time_left);
         line.into_iter().for_each(|line| eprintln!("{line}"));
         self.append_record(number, &LogRecord::NoticeIssued(notice));
         let pending =
--- a/src/bin/foldtrack/overload.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -12,8 +12,8 @@
 /// How long a late turn counts, and the time constant of the mean.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-#[derive(Default)]
 /// The measurements, behind the lock.
+#[derive(Default)]
 struct State {
     /// End of the overload caused by the last late turn.
     overloaded_until: Option<Instant>,
@@ -76,13 +76,13 @@
     /// Measures one turn of the event loop, from now until all tasks that are ready have run. Only one
     /// measurement runs at a time.
     pub fn measure_turn(&self) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         {
             let mut state = self.state();
             if state.turn_started_at.is_some() {
                 return;
             }
-            state.turn_started_at = Some(begun);
+            state.turn_started_at = Some(started_at);
         }
         let monitor = self.clone();
         tokio::spawn(async move {
@@ -95,7 +95,7 @@
     fn end_turn(&self) {
         let took = {
             let mut state = self.state();
-            let took = state.turn_started_at.take().map_or(Duration::ZERO, |begun| begun.elapsed());
+            let took = state.turn_started_at.take().map_or(Duration::ZERO, |started_at| started_at.elapsed());
             state.rotate_windows();
             state.longest_in_window = state.longest_in_window.max(took);
             state.update_mean(took);
