--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -1,5 +1,5 @@
-//! One forwarder of outbound messages on real sockets: the decisions of `hatchline` between clients, targets
-//! and the platform.
+//! A forwarder of outbound messages: runs the delivery policy of `hatchline` on real sockets, between
+//! clients, endpoints and discovery.
 #![warn(missing_docs)]
 
 mod admin_server;
@@ -32,55 +32,60 @@
 use std::process::{Command, ExitCode};
 use tokio::signal::unix::{signal, SignalKind};
 
+/// Installs the signal handlers and runs the node.
 async fn run(config: Config) -> Result<ExitReason, String> {
-    let (events, receiver) = events::channel();
-    let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = events.clone();
+    let (node_events, receiver) = events::channel();
+    let mut terminate =
+        signal(SignalKind::terminate()).map_err(|e| format!("cannot install a signal handler: {e}"))?;
+    let events = node_events.clone();
     tokio::spawn(async move {
         while terminate.recv().await.is_some() {
-            to_node.send(NodeEvent::Terminate);
+            events.send(NodeEvent::Terminate);
         }
     });
-    let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    let to_node = events.clone();
+    let mut hangup =
+        signal(SignalKind::hangup()).map_err(|e| format!("cannot install a signal handler: {e}"))?;
+    let events = node_events.clone();
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
             match Config::reload_discovery_address() {
-                Ok(address) => to_node.send(NodeEvent::DiscoveryAddress(address)),
-                Err(error) => eprintln!("foldtrack: discovery stays where it is: {error}"),
+                Ok(address) => events.send(NodeEvent::DiscoveryAddress(address)),
+                Err(error) => eprintln!("foldtrack: keeping the current discovery address: {error}"),
             }
         }
     });
     let (listen, state) = (config.listen_address, config.state_directory.clone());
-    let end = node::run(config, events, receiver).await;
-    end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
+    let result = node::run(config, node_events, receiver).await;
+    result.map_err(|e| format!("cannot serve on {listen} with state directory {}: {e}", state.display()))
 }
 
-/// Tasks that the runtime polls at most between two looks at the node and at the sockets and timers. Each of them is some
-/// 0.1 ms of work: with a hundredth of a core the node comes after less than 100 ms, and the look costs a hundredth of that.
-const POLLED_BEFORE_NODE: u32 = 8;
+/// Upper bound on the tasks that the runtime polls before it checks the node, sockets and timers again. One
+/// task takes about 0.1 ms: with 1% of a core the node runs again within 100 ms, and the checks cost about 1%
+/// of that time.
+const TASK_POLLS_PER_EVENT_CHECK: u32 = 8;
 
-/// The successor has ended, and with it the owner of the log: this process starts as after a restart.
-fn start_anew() -> ExitCode {
-    eprintln!("foldtrack: the new version has ended; starting anew from the log");
+/// Replaces this process by a fresh start from the write-ahead log. Called when the successor, which owned
+/// the log, has ended.
+fn restart_process() -> ExitCode {
+    eprintln!("foldtrack: the successor has ended; restarting from the write-ahead log");
     let error = match std::env::current_exe() {
         Ok(program) => Command::new(program).args(std::env::args_os().skip(1)).exec(),
         Err(error) => error,
     };
-    eprintln!("foldtrack: not started anew: {error}");
+    eprintln!("foldtrack: cannot restart: {error}");
     ExitCode::FAILURE
 }
 
 fn main() -> ExitCode {
-    let end = Config::load().and_then(|config| {
-        // One thread: the forwarder has one core.
+    let result = Config::load().and_then(|config| {
+        // A single thread, since the forwarder is given one core.
         let mut runtime = tokio::runtime::Builder::new_current_thread();
-        let runtime = runtime.enable_all().event_interval(POLLED_BEFORE_NODE).build();
+        let runtime = runtime.enable_all().event_interval(TASK_POLLS_PER_EVENT_CHECK).build();
         runtime.map_err(|e| e.to_string())?.block_on(run(config))
     });
-    match end {
+    match result {
         Ok(ExitReason::Completed) => ExitCode::SUCCESS,
-        Ok(ExitReason::SuccessorLost) => start_anew(),
+        Ok(ExitReason::SuccessorLost) => restart_process(),
         Err(error) => {
             eprintln!("foldtrack: {error}");
             ExitCode::FAILURE
