--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,7 +1,7 @@
-//! The client: a watch on the list for as long as it runs, wherever discovery is.
+//! The discovery client: follows the endpoint list by long polling, at an address that may change.
 
 use super::list::ServerList;
-use super::timing::{Backoff, ClientOptions, EMPTY_PAUSE, WATCH};
+use super::timing::{Backoff, ClientOptions, NO_CHANGE_PAUSE, WATCH_WAIT};
 use super::transport::{ListRequest, Reply, Transport};
 use hyper::StatusCode;
 use std::convert::Infallible;
@@ -9,43 +9,43 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// What the client reports.
+/// An event that the client reports to its user.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// A whole list, or the entries that changed. Lists without either are not reported.
+    /// A full list, or the entries that changed. A reply with neither is not reported.
     List(ServerList),
-    /// A reply that holds no list.
+    /// A reply without a valid list.
     InvalidReply {
-        /// The status of the reply.
+        /// HTTP status of the reply.
         status: StatusCode,
-        /// Why its body is no list, where it is none.
+        /// Why the body could not be decoded as a list, if it could not.
         error: Option<serde_json::Error>,
     },
 }
 
-/// How an exchange ended.
-enum Outcome {
-    /// No connection, no reply in time, or not a whole one.
+/// Result of one exchange with discovery.
+enum ExchangeResult {
+    /// The connection failed, or no complete reply arrived in time.
     NoReply,
-    /// Discovery has too much to do.
-    TurnedAway,
+    /// Discovery is overloaded and rejected the request.
+    Overloaded,
     List(ServerList),
-    Unusable(DiscoveryEvent),
+    Invalid(DiscoveryEvent),
 }
 
-impl From<Reply> for Outcome {
-    fn from(Reply { status, body }: Reply) -> Outcome {
+impl From<Reply> for ExchangeResult {
+    fn from(Reply { status, body }: Reply) -> ExchangeResult {
         if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-            return Outcome::TurnedAway;
+            return ExchangeResult::Overloaded;
         }
         match serde_json::from_slice(&body) {
-            Ok(list) if status == StatusCode::OK => Outcome::List(list),
-            other => Outcome::Unusable(DiscoveryEvent::InvalidReply { status, error: other.err() }),
+            Ok(list) if status == StatusCode::OK => ExchangeResult::List(list),
+            other => ExchangeResult::Invalid(DiscoveryEvent::InvalidReply { status, error: other.err() }),
         }
     }
 }
 
-/// Follows the list over a transport and passes on what it learns.
+/// Follows the endpoint list over a transport and reports its changes.
 pub struct Client<T, F> {
     transport: T,
     on_event: F,
@@ -54,16 +54,17 @@
 }
 
 impl<T: Transport, F: FnMut(DiscoveryEvent)> Client<T, F> {
-    /// `on_event` is called with each event, in their order. Replicas need different seeds for `random`.
+    /// `on_event` is called with each event in order. Replicas need different seeds for `random`, so that they do not
+    /// send their requests at the same times.
     pub fn new(transport: T, on_event: F, options: ClientOptions, random: fastrand::Rng) -> Client<T, F> {
         Client { transport, on_event, options, random }
     }
 
-    /// Follows the list at an address that may change, from a known version on: a whole list costs discovery work for
-    /// each of its entries. Ends when the sender of the address is dropped.
+    /// Follows the list at `address`, starting from `known_version`: a full list costs discovery work for each of its
+    /// entries. Returns when the sender of the address is dropped.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>, known_version: Option<u64>) {
         let mut version = known_version;
-        let delay = self.options.begin_spread();
+        let delay = self.options.start_spread();
         if !delay.is_zero() {
             sleep(delay.mul_f64(self.random.f64())).await;
         }
@@ -72,58 +73,58 @@
             tokio::select! {
                 biased;
                 never = self.follow(current, version.take()) => match never {},
-                moved = address.changed() => if moved.is_err() { return },
+                changed = address.changed() => if changed.is_err() { return },
             }
-            // Versions of another address need not go on from these: it is asked for the whole list.
+            // The versions of another address may be unrelated to these: the full list is requested there.
             self.transport.disconnect();
         }
     }
 
-    /// Follows the list at one address, from a version or from the whole list on.
+    /// Follows the list at one address, from `version` or from the full list.
     async fn follow(&mut self, address: SocketAddr, mut version: Option<u64>) -> Infallible {
-        let mut backoff = Backoff::new(self.options.longest_pause());
+        let mut backoff = Backoff::new(self.options.max_pause());
         loop {
             let request = match version {
-                Some(since) => ListRequest::Watch { since, wait: WATCH },
+                Some(since) => ListRequest::Watch { since, wait: WATCH_WAIT },
                 None => ListRequest::FullList,
             };
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             match self.exchange(address, &request).await {
-                Outcome::NoReply => {
-                    // The list stays as it is, and the watch goes on from its version.
+                ExchangeResult::NoReply => {
+                    // The list stays in force, and the next watch continues from its version.
                     self.transport.disconnect();
-                    sleep(backoff.pause()).await;
+                    sleep(backoff.next_pause()).await;
                 }
-                Outcome::TurnedAway => {
-                    // Calls that come again soon would keep discovery overloaded.
+                ExchangeResult::Overloaded => {
+                    // Immediate retries would keep discovery overloaded.
                     self.transport.disconnect();
-                    sleep(self.options.turned_away_pause(&mut self.random)).await;
+                    sleep(self.options.overload_pause(&mut self.random)).await;
                 }
-                Outcome::List(list) => {
+                ExchangeResult::List(list) => {
                     backoff.reset();
-                    let news = version.replace(list.version) != Some(list.version);
+                    let version_changed = version.replace(list.version) != Some(list.version);
                     if list.full || !list.servers.is_empty() {
                         (self.on_event)(DiscoveryEvent::List(list));
                     }
-                    if !news && asked.elapsed() < EMPTY_PAUSE {
-                        sleep(EMPTY_PAUSE).await;
+                    if !version_changed && sent_at.elapsed() < NO_CHANGE_PAUSE {
+                        sleep(NO_CHANGE_PAUSE).await;
                     }
                 }
-                Outcome::Unusable(event) => {
+                ExchangeResult::Invalid(event) => {
                     (self.on_event)(event);
-                    // The version may be unknown there: the whole list is asked for.
+                    // Discovery may not know the version: the full list is requested.
                     version = None;
-                    sleep(backoff.pause()).await;
+                    sleep(backoff.next_pause()).await;
                 }
             }
         }
     }
 
-    async fn exchange(&mut self, address: SocketAddr, request: &ListRequest) -> Outcome {
-        let due = request.wait() + self.options.reply_grace();
-        match timeout(due, self.transport.exchange(address, request)).await {
-            Ok(Ok(reply)) => Outcome::from(reply),
-            Ok(Err(_)) | Err(_) => Outcome::NoReply,
+    async fn exchange(&mut self, address: SocketAddr, request: &ListRequest) -> ExchangeResult {
+        let reply_timeout = request.wait() + self.options.reply_grace();
+        match timeout(reply_timeout, self.transport.exchange(address, request)).await {
+            Ok(Ok(reply)) => ExchangeResult::from(reply),
+            Ok(Err(_)) | Err(_) => ExchangeResult::NoReply,
         }
     }
 }
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -1,46 +1,46 @@
-//! The list of endpoints on the wire, and the changes to it.
+//! The endpoint list and its changes, as discovery serves them in JSON.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A whole list of endpoints, or the entries of it that changed.
+/// A full list of endpoints, or the entries that changed since a version.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ServerList {
-    /// The version that this list brings its reader to.
+    /// Version of the list once these entries have been applied.
     pub version: u64,
-    /// Whether `servers` is the whole list, as opposed to the entries that changed.
+    /// Whether `servers` is the full list, as opposed to the entries that changed.
     #[serde(default)]
     pub full: bool,
-    /// The entries. One that cannot be read is logged and left out.
-    #[serde(default, deserialize_with = "readable_entries")]
+    /// The entries. An invalid entry is logged and skipped.
+    #[serde(default, deserialize_with = "valid_entries")]
     pub servers: Vec<ServerEntry>,
 }
 
 impl ServerList {
-    /// The version from which changes to this list may be asked for; none for a list without endpoints.
+    /// Version from which changes to this list may be requested; none for a list without endpoints.
     pub fn known_version(&self) -> Option<u64> {
         Some(self.version).filter(|_| !self.servers.is_empty())
     }
 }
 
-/// Guards the rest of a list, drains among it, against an entry that cannot be read.
-fn readable_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ServerEntry>, D::Error> {
+/// Skips invalid entries, so that one of them does not hold up the rest of the list, drains included.
+fn valid_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ServerEntry>, D::Error> {
     let entries = Vec::<Value>::deserialize(deserializer)?;
-    let read = |entry: Value| {
+    let parse = |entry: Value| {
         ServerEntry::deserialize(&entry)
-            .inspect_err(|e| eprintln!("discovery: {entry} is passed over: {e}"))
+            .inspect_err(|e| eprintln!("discovery: invalid list entry {entry} skipped: {e}"))
             .ok()
     };
-    Ok(entries.into_iter().filter_map(read).collect())
+    Ok(entries.into_iter().filter_map(parse).collect())
 }
 
-/// One endpoint of the list.
+/// An endpoint in the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct ServerEntry {
-    /// Its name, the same at each forwarder.
+    /// Name of the endpoint, the same at each forwarder.
     pub id: String,
-    /// Where this forwarder reaches it.
+    /// Address at which this forwarder reaches it.
     pub addr: SocketAddr,
     /// Name of its zone.
     #[serde(default)]
@@ -50,21 +50,21 @@
     pub kind: String,
     /// Number of the destination that it belongs to.
     pub cell: u32,
-    /// Whether it takes new calls.
+    /// Whether it accepts new calls.
     pub state: ServerState,
-    /// The listed rate in calls per second, where the deployment lists rates.
+    /// Listed rate in calls per second, where the deployment lists rates.
     #[serde(default)]
     pub weight: f64,
 }
 
-/// Whether an endpoint takes new calls.
+/// Whether an endpoint accepts new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
-    /// It takes calls.
+    /// It accepts new calls.
     Active,
-    /// It finishes the calls that it has and takes no new ones.
+    /// Draining: it finishes its current calls and accepts no new ones.
     Leaving,
-    /// It has left the list; only among changes.
+    /// Removed from the list. Occurs only among changes.
     Left,
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! Service discovery: the list of endpoints as it is served over HTTP, and a client that follows its changes.
+//! Service discovery: the endpoint list as served over HTTP, and a client that follows its changes.
 //!
-//! [`Client`] keeps a watch on the list. It speaks through a [`Transport`] and reports [`DiscoveryEvent`]s, so that a
-//! forwarder runs it over its connections and a simulation over memory and tokio's paused clock.
+//! [`Client`] watches the list by long polling. It exchanges requests over a [`Transport`] and reports
+//! [`DiscoveryEvent`]s. The transport of the forwarder is an HTTP connection; simulations use one in memory, under
+//! tokio's paused clock.
 //!
 //! ```
 //! use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent, DiscoveryMode};
@@ -9,10 +10,10 @@
 //! use std::net::SocketAddr;
 //! use tokio::sync::{mpsc, watch};
 //!
-//! /// Answers each request with the same list.
-//! struct OneList;
+//! /// Replies to each request with the same list.
+//! struct FixedList;
 //!
-//! impl Transport for OneList {
+//! impl Transport for FixedList {
 //!     async fn exchange(&mut self, _: SocketAddr, _: &ListRequest) -> Result<Reply, TransportError> {
 //!         Ok(Reply { status: hyper::StatusCode::OK, body: r#"{"version":1,"full":true}"#.into() })
 //!     }
@@ -24,7 +25,7 @@
 //! let (events, mut received) = mpsc::unbounded_channel();
 //! let options = ClientOptions { mode: DiscoveryMode::Pushed, replicas: 1 };
 //! let on_event = move |event| drop(events.send(event));
-//! let client = Client::new(OneList, on_event, options, fastrand::Rng::with_seed(7));
+//! let client = Client::new(FixedList, on_event, options, fastrand::Rng::with_seed(7));
 //! tokio::spawn(client.run(address, None));
 //! assert!(matches!(received.recv().await, Some(DiscoveryEvent::List(list)) if list.version == 1));
 //! # });
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -1,60 +1,61 @@
-//! When the client asks, how long it waits for a reply, and how long it pauses after a failure.
+//! Timing of the discovery client: long-poll waits, reply timeouts, and pauses between requests.
 //!
-//! The protocol bounds all of these: what discovery has to tell binds a forwarder 6 s later at the latest, whether or not
-//! it arrived, and 4 s after SIGHUP named another address. A watch lasts while the next call follows within 200 ms.
+//! The protocol bounds all of these: a change to the list is binding on a forwarder 6 s later at the latest, whether or
+//! not it has arrived, and 4 s after SIGHUP named another address. A watch lasts while the next request follows within
+//! 200 ms.
 
 use crate::Settings;
 use std::time::Duration;
 
-/// How long a watch may stay open without news (1 s, chosen here; the protocol allows 60 s). An open watch occupies
-/// discovery. The next call follows at once: after 200 ms it would count as a new watch, which costs discovery more.
-pub(super) const WATCH: Duration = Duration::from_secs(1);
-/// How much later than its wait a reply may come where lists are pushed (1 s, chosen here). What a silent watch misses
-/// binds after 6 s, after SIGHUP after 4 s: by then another call needs its reply. The agent has the lists at hand.
+/// How long discovery may hold a watch open without changes; the protocol allows up to 60 s. An open watch takes up
+/// resources of discovery. The next request follows at once: after 200 ms it would count as a new watch, which costs
+/// discovery more.
+pub(super) const WATCH_WAIT: Duration = Duration::from_secs(1);
+/// How long after its wait a reply may still arrive where lists are pushed. A change that a silent watch misses is
+/// binding after 6 s, and after 4 s following SIGHUP: by then the reply to another request must be here. The agent
+/// has the lists at hand.
 const PUSHED_REPLY_GRACE: Duration = Duration::from_secs(1);
-/// The same where lists are told on request (1.5 s, chosen here). Discovery may have a fleet to answer first, but two
-/// calls that meet silence, or one behind a call turned away, have to fit into the 6 s.
+/// The same where lists are served on request. Discovery may have a whole fleet to reply to first, but two requests
+/// without a reply, or one that follows a rejected request, have to fit into the 6 s.
 const ON_REQUEST_REPLY_GRACE: Duration = Duration::from_millis(1500);
-/// The pause after a first failure (50 ms, chosen here); it doubles with each further one.
+/// Pause after a first failure. It doubles with each further failure.
 pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause after failures where lists are pushed (100 ms, chosen here). What the agent gets once discovery is
-/// back binds at once, and drains have to be kept within some hundreds of milliseconds.
-const PUSHED_LONGEST_PAUSE: Duration = Duration::from_millis(100);
-/// The same where lists are told on request (500 ms, chosen here).
-const ON_REQUEST_LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// The mean pause after a call that was turned away, for each replica of the fleet (125 ms, measured: a fleet that comes
-/// again at 8 calls a second leaves discovery room to answer). A call turned away costs it nearly as much as an answer.
-const TURNED_AWAY_PAUSE_PER_REPLICA: Duration = Duration::from_millis(125);
-/// The longest mean of that pause (1.85 s, from the 6 s): two pauses, or one and a call that meets silence, fit into
-/// 6 s in a fleet of any size.
-const LONGEST_TURNED_AWAY_PAUSE: Duration = Duration::from_millis(1850);
-/// The shortest part of its mean that the pause after a call turned away takes; the longest is as much above the mean.
-const TURNED_AWAY_JITTER_FROM: f64 = 0.5;
-/// Within how long the watches of a fleet that starts together begin, for each replica (50 ms, measured: discovery takes
-/// on some twenty new watches a second, and all that wait behind those are turned away). Only where lists are told on
-/// request: a pushed list binds from when the agent has it, and a watch there costs nothing.
-const BEGIN_SPREAD_PER_REPLICA: Duration = Duration::from_millis(50);
-/// The latest beginning of a watch (2.5 s, from the 6 s): a first call that is turned away or meets silence leaves time
-/// for a second.
-const LATEST_BEGIN: Duration = Duration::from_millis(2500);
-/// The least time between calls that are answered at once without news (50 ms, chosen here).
-pub(super) const EMPTY_PAUSE: Duration = Duration::from_millis(50);
+/// Longest pause after failures where lists are pushed. What the agent receives once discovery is back is binding at
+/// once, and drains must be observed within some hundreds of milliseconds.
+const PUSHED_MAX_PAUSE: Duration = Duration::from_millis(100);
+/// The same where lists are served on request.
+const ON_REQUEST_MAX_PAUSE: Duration = Duration::from_millis(500);
+/// Mean pause after a request that overloaded discovery rejected, per replica of the fleet. A rejection costs
+/// discovery nearly as much as a reply: a fleet that retries at 8 requests per second in all leaves it room to reply.
+const OVERLOAD_PAUSE_PER_REPLICA: Duration = Duration::from_millis(125);
+/// Upper bound of that mean. Two pauses, or one and a request without a reply, fit into 6 s in a fleet of any size.
+const MAX_MEAN_OVERLOAD_PAUSE: Duration = Duration::from_millis(1850);
+/// The pause after a rejection is random, from this share of its mean to as much above the mean.
+const OVERLOAD_JITTER_MIN_SHARE: f64 = 0.5;
+/// Span per replica over which the replicas of a fleet that starts at once spread their first requests. Discovery
+/// accepts some twenty new watches per second and rejects all that queue behind those. Only where lists are served on
+/// request: a pushed list is binding from when the agent has it, and a watch at the agent costs discovery nothing.
+const START_SPREAD_PER_REPLICA: Duration = Duration::from_millis(50);
+/// Upper bound of that span. It leaves time for a second request if the first is rejected or gets no reply.
+const MAX_START_SPREAD: Duration = Duration::from_millis(2500);
+/// Pause before the next request if discovery replied at once without a change.
+pub(super) const NO_CHANGE_PAUSE: Duration = Duration::from_millis(50);
 
-/// How a deployment's lists reach a forwarder.
+/// How the endpoint lists of a deployment reach a forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// An agent on the forwarder's machine has each list as soon as it is sent, at no cost to discovery.
+    /// An agent on the machine of the forwarder receives each list as soon as it is sent, at no cost to discovery.
     Pushed,
-    /// Discovery serves the lists itself, to those who ask.
+    /// Discovery itself serves the lists, to those who request them.
     OnRequest,
 }
 
-/// What the client's timing depends on.
+/// Parameters of the deployment on which the timing of the client depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientOptions {
     /// How lists reach the forwarder.
     pub mode: DiscoveryMode,
-    /// Number of forwarders that share the discovery.
+    /// Number of replicas that share the discovery service.
     pub replicas: u32,
 }
 
@@ -66,15 +67,15 @@
 }
 
 impl ClientOptions {
-    /// Within how long after its start the client begins, at random.
-    pub(super) fn begin_spread(&self) -> Duration {
+    /// Span after its start within which the client sends its first request, at a random time.
+    pub(super) fn start_spread(&self) -> Duration {
         match self.mode {
             DiscoveryMode::Pushed => Duration::ZERO,
-            DiscoveryMode::OnRequest => (BEGIN_SPREAD_PER_REPLICA * self.replicas).min(LATEST_BEGIN),
+            DiscoveryMode::OnRequest => (START_SPREAD_PER_REPLICA * self.replicas).min(MAX_START_SPREAD),
         }
     }
 
-    /// How much later than its wait a reply may come.
+    /// How long after its wait a reply may still arrive.
     pub(super) fn reply_grace(&self) -> Duration {
         match self.mode {
             DiscoveryMode::Pushed => PUSHED_REPLY_GRACE,
@@ -82,41 +83,41 @@
         }
     }
 
-    /// The longest pause after failures.
-    pub(super) fn longest_pause(&self) -> Duration {
+    /// Longest pause after failures.
+    pub(super) fn max_pause(&self) -> Duration {
         match self.mode {
-            DiscoveryMode::Pushed => PUSHED_LONGEST_PAUSE,
-            DiscoveryMode::OnRequest => ON_REQUEST_LONGEST_PAUSE,
+            DiscoveryMode::Pushed => PUSHED_MAX_PAUSE,
+            DiscoveryMode::OnRequest => ON_REQUEST_MAX_PAUSE,
         }
     }
 
-    /// The pause after a call that was turned away.
-    pub(super) fn turned_away_pause(&self, random: &mut fastrand::Rng) -> Duration {
-        let mean = (TURNED_AWAY_PAUSE_PER_REPLICA * self.replicas).min(LONGEST_TURNED_AWAY_PAUSE);
-        mean.mul_f64(TURNED_AWAY_JITTER_FROM + random.f64())
+    /// Random pause after a rejected request.
+    pub(super) fn overload_pause(&self, random: &mut fastrand::Rng) -> Duration {
+        let mean = (OVERLOAD_PAUSE_PER_REPLICA * self.replicas).min(MAX_MEAN_OVERLOAD_PAUSE);
+        mean.mul_f64(OVERLOAD_JITTER_MIN_SHARE + random.f64())
     }
 }
 
-/// Pauses after failures: doubled each time, from the first to the longest.
+/// Exponential backoff: the pause doubles with each failure, up to a maximum.
 #[derive(Debug)]
 pub(super) struct Backoff {
     next: Duration,
-    longest: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    pub fn new(longest: Duration) -> Backoff {
-        Backoff { next: FIRST_PAUSE, longest }
+    pub fn new(max: Duration) -> Backoff {
+        Backoff { next: FIRST_PAUSE, max }
     }
 
-    /// The pause after one more failure.
-    pub fn pause(&mut self) -> Duration {
+    /// Returns the pause after one more failure.
+    pub fn next_pause(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (2 * pause).min(self.longest);
+        self.next = (2 * pause).min(self.max);
         pause
     }
 
-    /// Begins anew after a success.
+    /// Starts over after a success.
     pub fn reset(&mut self) {
         self.next = FIRST_PAUSE;
     }
--- a/src/discovery/transport.rs
+++ b/src/discovery/transport.rs
@@ -1,4 +1,4 @@
-//! One exchange with discovery: the request, its reply, and the way between the client and the network.
+//! Requests to discovery, their replies, and the transport between the client and the network.
 
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -7,12 +7,13 @@
 use std::time::Duration;
 use std::{error, fmt, io};
 
-/// A request for the list or for its changes.
+/// A request for the endpoint list or for its changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// The whole list, answered at once.
+    /// The full list, served at once.
     FullList,
-    /// The changes since a version. The reply comes with the first change, or without one after `wait`.
+    /// Long poll for the changes since a version. The reply comes with the first change, or without changes after
+    /// `wait`.
     Watch {
         /// The version that the client has.
         since: u64,
@@ -40,38 +41,38 @@
         }
     }
 
-    /// The bytes of the request as the forwarder's HTTP library writes them. A simulation counts them.
+    /// The request as the HTTP library of the forwarder writes it. Simulations count its bytes.
     pub fn wire_format(&self, address: SocketAddr) -> String {
         format!("GET {} HTTP/1.1\r\nhost: {address}\r\n\r\n", self.path())
     }
 }
 
-/// What discovery answered.
+/// A reply of discovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The status of the response.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its whole body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// Why there is no reply.
+/// Why an exchange brought no reply.
 #[derive(Debug)]
 pub enum TransportError {
-    /// No connection came up.
+    /// The connection could not be established.
     Connect(io::Error),
     /// The request could not be built.
     InvalidRequest,
-    /// The connection ended, or the reply could not be read, before its end.
+    /// The connection was closed, or the reply could not be read, before the reply was complete.
     Interrupted,
 }
 
 impl fmt::Display for TransportError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            TransportError::Connect(error) => write!(f, "no connection to discovery: {error}"),
-            TransportError::InvalidRequest => f.write_str("the request to discovery cannot be built"),
-            TransportError::Interrupted => f.write_str("discovery's reply did not come to its end"),
+            TransportError::Connect(error) => write!(f, "cannot connect to discovery: {error}"),
+            TransportError::InvalidRequest => f.write_str("invalid request to discovery"),
+            TransportError::Interrupted => f.write_str("incomplete reply from discovery"),
         }
     }
 }
@@ -85,13 +86,14 @@
     }
 }
 
-/// The way to discovery. An exchange that is dropped before its end must not leave its connection to the next.
+/// Exchanges requests with discovery. If the future of an exchange is dropped before it completes, its connection
+/// must not be used for the next.
 pub trait Transport {
-    /// Sends one request and reads its whole reply. The connection may be kept for the next exchange.
+    /// Sends one request and reads the complete reply. The connection may be kept for the next exchange.
     fn exchange(
         &mut self, address: SocketAddr, request: &ListRequest,
     ) -> impl Future<Output = Result<Reply, TransportError>> + Send;
 
-    /// Closes the connection that is kept, if there is one.
+    /// Closes the connection, if one is kept.
     fn disconnect(&mut self);
 }
