--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/hatchline-adapter/host.rs
@@ -1,6 +1,7 @@
-//! One decision module for each instance number; translation between wire and interface.
+//! Runs one delivery policy for each instance number, and converts between wire records and policy events and
+//! actions.
 
-use crate::wire::{Batch, Entry, Input, Malformed, Output, Reply};
+use crate::wire::{Batch, Entry, Input, Output, Reply, WireError};
 use hatchline::settings::Parsed;
 use hatchline::{Action, DeliveryPolicy, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome};
 use std::collections::BTreeMap;
@@ -12,14 +13,14 @@
     rate_at: Option<usize>,
 }
 
-/// All instances of this process and the numbered lists they refer to.
+/// The policy instances of this process, and the endpoint lists that records refer to by number.
 #[derive(Default)]
-pub struct Host {
+pub struct PolicyHost {
     instances: BTreeMap<u16, Instance>,
-    sheets: BTreeMap<u16, Vec<Entry>>,
+    lists: BTreeMap<u16, Vec<Entry>>,
 }
 
-fn outcome(status: u16) -> Result<Outcome, Malformed> {
+fn to_outcome(status: u16) -> Result<Outcome, WireError> {
     Ok(match status {
         0 => Outcome::Error,
         1 => Outcome::Ok,
@@ -29,16 +30,16 @@
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
         7 => Outcome::NotSent,
-        _ => return Err(Malformed(format!("an outcome has the unknown code {status}"))),
+        _ => return Err(WireError(format!("unknown outcome code {status}"))),
     })
 }
 
-fn endpoint(entry: &Entry) -> Result<Endpoint, Malformed> {
+fn to_endpoint(entry: &Entry) -> Result<Endpoint, WireError> {
     let state = match entry.status {
         3 => EndpointState::Ready,
         0 => EndpointState::Draining,
         1 => EndpointState::Gone,
-        other => return Err(Malformed(format!("a target has the unknown status {other}"))),
+        other => return Err(WireError(format!("unknown endpoint status {other}"))),
     };
     Ok(Endpoint {
         target: entry.target,
@@ -51,61 +52,63 @@
 }
 
 impl Instance {
-    fn report(&self, values: &[f32]) -> Option<LimitReport> {
+    fn limit_report(&self, values: &[f32]) -> Option<LimitReport> {
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).map(|v| f64::from(*v));
         Some(LimitReport { share_left: value(self.share_left_at)?, rate: value(self.rate_at)? })
     }
 }
 
-impl Host {
-    /// Plays a batch and gives the frame of the reply.
-    pub fn play(&mut self, batch: Batch) -> Result<Vec<u8>, Malformed> {
+impl PolicyHost {
+    /// Processes a batch and returns the encoded reply.
+    pub fn run_batch(&mut self, batch: Batch) -> Result<Vec<u8>, WireError> {
         let clock = batch.clock;
         let mut reply = Reply::new(batch.number);
-        let mut touched: BTreeMap<u16, Vec<Action>> = BTreeMap::new();
+        let mut actions_by_instance: BTreeMap<u16, Vec<Action>> = BTreeMap::new();
         for record in batch.records {
             let (i, event) = match record {
                 Input::Roster { sheet, items } => {
-                    self.sheets.insert(sheet, items);
+                    self.lists.insert(sheet, items);
                     continue;
                 }
                 Input::Down { i } => {
                     self.instances.remove(&i);
-                    touched.remove(&i);
+                    actions_by_instance.remove(&i);
                     continue;
                 }
                 Input::Born { i, salt, env } => {
                     let Parsed { settings, share_left_at, rate_at, .. } = serde_json::from_slice(&env)
-                        .map_err(|e| Malformed(format!("the settings of instance {i} do not parse: {e}")))?;
-                    let policy = guarded(i, &mut reply, || DeliveryPolicy::new(clock, salt, settings));
-                    touched.insert(i, Vec::new());
+                        .map_err(|e| WireError(format!("settings of instance {i} are invalid: {e}")))?;
+                    let policy = catch_panic(i, &mut reply, || DeliveryPolicy::new(clock, salt, settings));
+                    actions_by_instance.insert(i, Vec::new());
                     if let Some(policy) = policy {
                         self.instances.insert(i, Instance { policy, share_left_at, rate_at });
                     }
                     continue;
                 }
-                other => self.translate(other)?,
+                other => self.to_event(other)?,
             };
             let Some(instance) = self.instances.get_mut(&i) else {
                 continue;
             };
-            let actions = touched.entry(i).or_default();
-            guarded(i, &mut reply, || instance.policy.handle(clock, event, actions));
+            let actions = actions_by_instance.entry(i).or_default();
+            catch_panic(i, &mut reply, || instance.policy.handle(clock, event, actions));
         }
-        for (i, mut actions) in touched {
+        for (i, mut actions) in actions_by_instance {
             let Some(instance) = self.instances.get_mut(&i) else {
                 continue;
             };
-            guarded(i, &mut reply, || instance.policy.decide(clock, &mut actions));
+            catch_panic(i, &mut reply, || instance.policy.decide(clock, &mut actions));
             for action in actions {
-                reply.push(&record(i, action));
+                reply.push(&to_output(i, action));
             }
         }
         Ok(reply.finish())
     }
 
-    fn translate(&self, record: Input) -> Result<(u16, Event), Malformed> {
-        let report = |i: u16, values: &[f32]| self.instances.get(&i).and_then(|x| x.report(values));
+    fn to_event(&self, record: Input) -> Result<(u16, Event), WireError> {
+        let report = |i: u16, values: &[f32]| {
+            self.instances.get(&i).and_then(|instance| instance.limit_report(values))
+        };
         Ok(match record {
             Input::Targets { i, scope, rev, sheet } => {
                 let kind = match scope {
@@ -113,12 +116,12 @@
                     1 => ListKind::Full,
                     2 => ListKind::Cached,
                     3 => ListKind::Failed,
-                    other => return Err(Malformed(format!("a list has the unknown scope {other}"))),
+                    other => return Err(WireError(format!("unknown list scope {other}"))),
                 };
-                let endpoints = match (kind, self.sheets.get(&sheet)) {
+                let endpoints = match (kind, self.lists.get(&sheet)) {
                     (ListKind::Failed, _) => Vec::new(),
-                    (_, Some(entries)) => entries.iter().map(endpoint).collect::<Result<_, _>>()?,
-                    (_, None) => return Err(Malformed(format!("list {sheet} was never declared"))),
+                    (_, Some(entries)) => entries.iter().map(to_endpoint).collect::<Result<_, _>>()?,
+                    (_, None) => return Err(WireError(format!("list {sheet} has not been declared"))),
                 };
                 (i, Event::List { kind, version: rev, endpoints })
             }
@@ -139,7 +142,7 @@
                     id,
                     attempt: u32::from(attempt),
                     target,
-                    outcome: outcome(status)?,
+                    outcome: to_outcome(status)?,
                     took: u64::from(took),
                     ended,
                     wait: if status == 2 { u64::from(wait_ms) * 1000 } else { 0 },
@@ -152,22 +155,22 @@
                 i,
                 Event::Probed {
                     target,
-                    outcome: outcome(status)?,
+                    outcome: to_outcome(status)?,
                     took: u64::from(took),
                     report: report(i, &feedback),
                 },
             ),
             Input::Peer { i, who, body } => (i, Event::Peer { from: who, data: body }),
             Input::Born { .. } | Input::Down { .. } | Input::Roster { .. } => {
-                return Err(Malformed("a record without an event".into()))
+                return Err(WireError("record does not carry a policy event".into()))
             }
         })
     }
 }
 
-/// Runs the module; a panic there becomes a `Fault` of the instance.
-fn guarded<T>(i: u16, reply: &mut Reply, work: impl FnOnce() -> T) -> Option<T> {
-    match catch_unwind(AssertUnwindSafe(work)) {
+/// Runs policy code. A panic becomes an `Output::Fault` of the instance.
+fn catch_panic<T>(i: u16, reply: &mut Reply, run: impl FnOnce() -> T) -> Option<T> {
+    match catch_unwind(AssertUnwindSafe(run)) {
         Ok(value) => Some(value),
         Err(panic) => {
             let text = panic.downcast_ref::<String>().map(String::as_str);
@@ -178,15 +181,19 @@
     }
 }
 
-fn record(i: u16, action: Action) -> Output {
-    let narrow = |span: u64| u32::try_from(span).unwrap_or(u32::MAX);
+fn to_output(i: u16, action: Action) -> Output {
+    let saturating_u32 = |span: u64| u32::try_from(span).unwrap_or(u32::MAX);
     match action {
         Action::Send { id, target, until } => Output::Forward { i, id, not_past: until, target },
         Action::Cancel { id, attempt } => Output::Revoke { i, id, attempt: attempt as u8 },
-        Action::Refuse { id, retry_after } => Output::Refuse { i, id, cool_down: narrow(retry_after) },
+        Action::Refuse { id, retry_after } => {
+            Output::Refuse { i, id, cool_down: saturating_u32(retry_after) }
+        }
         Action::Fail { id } => Output::Surrender { i, id },
         Action::Probe { target } => Output::Probe { i, target },
-        Action::Timer { after, token } => Output::After { i, sleep_for: narrow(after), cookie: token },
+        Action::Timer { after, token } => {
+            Output::After { i, sleep_for: saturating_u32(after), cookie: token }
+        }
         Action::CloseIdle { target } => Output::ShutIdle { i, target },
         Action::Subscribe { on } => Output::KeepInformed { i, enable: on },
         Action::FetchList => Output::Lookup { i },
--- a/src/bin/hatchline-adapter/wire.rs
+++ b/src/bin/hatchline-adapter/wire.rs
@@ -1,25 +1,25 @@
-//! Framing and records: bytes to plain values and back. No meaning is attached here.
+//! The wire format of the simulator: decodes batches of events and encodes replies.
 
 use std::fmt;
 use std::io::Read;
 
-/// Input that cannot be read.
+/// Why the input cannot be processed.
 #[derive(Debug)]
-pub struct Malformed(pub String);
+pub struct WireError(pub String);
 
-impl fmt::Display for Malformed {
+impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl From<std::io::Error> for Malformed {
+impl From<std::io::Error> for WireError {
     fn from(error: std::io::Error) -> Self {
-        Malformed(format!("input or output failed: {error}"))
+        WireError(format!("I/O error: {error}"))
     }
 }
 
-/// A line of a list.
+/// An endpoint in the list that an `Input::Roster` record declares.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub target: u32,
@@ -31,27 +31,80 @@
     pub launched: u64,
 }
 
-/// A record of a batch.
+/// An event record of a batch. Variants and fields have the names of the published protocol.
 #[derive(Clone, Debug, PartialEq)]
-#[rustfmt::skip]
 pub enum Input {
-    Born { i: u16, salt: u64, env: Vec<u8> },
-    Targets { i: u16, scope: u8, rev: u32, sheet: u16 },
-    Query { i: u16, id: u64, class: u16, destination: f32, flags: u16, tenant: u16, hint: u32, key: u64, expires: u64 },
-    Started { i: u16, id: u64, attempt: u8, target: u32, took: u32 },
-    Resolved { i: u16, id: u64, attempt: u8, target: u32, status: u16, took: u32, ended: bool, wait_ms: u32,
-        feedback: Vec<f32> },
-    Lapsed { i: u16, id: u64 },
-    Wakeup { i: u16, cookie: u32 },
-    Echo { i: u16, target: u32, status: u16, took: u32, feedback: Vec<f32> },
-    Peer { i: u16, who: u32, body: Vec<u8> },
-    Down { i: u16 },
-    Roster { sheet: u16, items: Vec<Entry> },
+    Born {
+        i: u16,
+        salt: u64,
+        env: Vec<u8>,
+    },
+    Targets {
+        i: u16,
+        scope: u8,
+        rev: u32,
+        sheet: u16,
+    },
+    Query {
+        i: u16,
+        id: u64,
+        class: u16,
+        destination: f32,
+        flags: u16,
+        tenant: u16,
+        hint: u32,
+        key: u64,
+        expires: u64,
+    },
+    Started {
+        i: u16,
+        id: u64,
+        attempt: u8,
+        target: u32,
+        took: u32,
+    },
+    Resolved {
+        i: u16,
+        id: u64,
+        attempt: u8,
+        target: u32,
+        status: u16,
+        took: u32,
+        ended: bool,
+        wait_ms: u32,
+        feedback: Vec<f32>,
+    },
+    Lapsed {
+        i: u16,
+        id: u64,
+    },
+    Wakeup {
+        i: u16,
+        cookie: u32,
+    },
+    Echo {
+        i: u16,
+        target: u32,
+        status: u16,
+        took: u32,
+        feedback: Vec<f32>,
+    },
+    Peer {
+        i: u16,
+        who: u32,
+        body: Vec<u8>,
+    },
+    Down {
+        i: u16,
+    },
+    Roster {
+        sheet: u16,
+        items: Vec<Entry>,
+    },
 }
 
-/// A record of a reply.
+/// An action record of a reply. Variants and fields have the names of the published protocol.
 #[derive(Clone, Debug, PartialEq)]
-#[rustfmt::skip]
 pub enum Output {
     Forward { i: u16, id: u64, not_past: u64, target: u32 },
     Share { i: u16, peer: u32, body: Vec<u8> },
@@ -67,7 +120,7 @@
     Probe { i: u16, target: u32 },
 }
 
-/// A batch of events.
+/// A batch of events that arrived at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
     pub number: u32,
@@ -75,22 +128,24 @@
     pub records: Vec<Input>,
 }
 
-const BATCH_HEADER: usize = 20;
-const REPLY_HEADER: usize = 12;
-const RECORD_HEADER: usize = 5;
-const ENTRY: usize = 22;
+const BATCH_HEADER_BYTES: usize = 20;
+const REPLY_HEADER_BYTES: usize = 12;
+const RECORD_HEADER_BYTES: usize = 5;
+const ENTRY_BYTES: usize = 22;
 
+/// Reads little-endian values from a byte slice.
 struct Cursor<'a> {
     bytes: &'a [u8],
-    what: &'static str,
+    /// What is being read, for error messages.
+    context: &'static str,
 }
 
 impl<'a> Cursor<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
+    fn take(&mut self, n: usize) -> Result<&'a [u8], WireError> {
         if self.bytes.len() < n {
-            return Err(Malformed(format!(
-                "{} is too short: {n} bytes wanted, {} left",
-                self.what,
+            return Err(WireError(format!(
+                "{} is too short: {n} bytes expected, {} left",
+                self.context,
                 self.bytes.len()
             )));
         }
@@ -98,178 +153,249 @@
         self.bytes = rest;
         Ok(head)
     }
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
-        let mut out = [0; N];
-        out.copy_from_slice(self.take(N)?);
-        Ok(out)
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], WireError> {
+        let mut array = [0; N];
+        array.copy_from_slice(self.take(N)?);
+        Ok(array)
     }
-    fn u8(&mut self) -> Result<u8, Malformed> {
+    fn u8(&mut self) -> Result<u8, WireError> {
         Ok(self.array::<1>()?[0])
     }
-    fn u16(&mut self) -> Result<u16, Malformed> {
+    fn u16(&mut self) -> Result<u16, WireError> {
         Ok(u16::from_le_bytes(self.array()?))
     }
-    fn u32(&mut self) -> Result<u32, Malformed> {
+    fn u32(&mut self) -> Result<u32, WireError> {
         Ok(u32::from_le_bytes(self.array()?))
     }
-    fn u64(&mut self) -> Result<u64, Malformed> {
+    fn u64(&mut self) -> Result<u64, WireError> {
         Ok(u64::from_le_bytes(self.array()?))
     }
-    fn f32(&mut self) -> Result<f32, Malformed> {
+    fn f32(&mut self) -> Result<f32, WireError> {
         Ok(f32::from_le_bytes(self.array()?))
     }
-    fn floats(&mut self) -> Result<Vec<f32>, Malformed> {
+    fn f32_list(&mut self) -> Result<Vec<f32>, WireError> {
         let n = self.u8()?;
         (0..n).map(|_| self.f32()).collect()
     }
-    fn end(&self) -> Result<(), Malformed> {
+    fn expect_end(&self) -> Result<(), WireError> {
         if self.bytes.is_empty() {
             return Ok(());
         }
-        Err(Malformed(format!("{} has {} bytes too many", self.what, self.bytes.len())))
+        Err(WireError(format!("{} has {} extra bytes", self.context, self.bytes.len())))
     }
 }
 
-/// Reads one frame; `None` at the end of the input between frames.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, Malformed> {
-    let mut frame = vec![0; BATCH_HEADER];
-    let mut have = 0;
-    while have < BATCH_HEADER {
-        match input.read(&mut frame[have..])? {
-            0 if have == 0 => return Ok(None),
-            0 => return Err(Malformed("the input ends inside a frame header".into())),
-            n => have += n,
+/// Reads and decodes one frame. Returns `None` if the input ends between frames.
+pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
+    let mut frame = vec![0; BATCH_HEADER_BYTES];
+    let mut filled = 0;
+    while filled < BATCH_HEADER_BYTES {
+        match input.read(&mut frame[filled..])? {
+            0 if filled == 0 => return Ok(None),
+            0 => return Err(WireError("input ends inside a frame header".into())),
+            n => filled += n,
         }
     }
     let len = u32::from_le_bytes([frame[4], frame[5], frame[6], frame[7]]) as usize;
-    if len < BATCH_HEADER {
-        return Err(Malformed(format!("a frame gives its length as {len}, less than its header")));
+    if len < BATCH_HEADER_BYTES {
+        return Err(WireError(format!("frame length {len} is less than the frame header")));
     }
-    let got = input.take((len - BATCH_HEADER) as u64).read_to_end(&mut frame)?;
-    if got < len - BATCH_HEADER {
-        return Err(Malformed(format!("the input ends inside a frame of {len} bytes")));
+    let read = input.take((len - BATCH_HEADER_BYTES) as u64).read_to_end(&mut frame)?;
+    if read < len - BATCH_HEADER_BYTES {
+        return Err(WireError(format!("input ends inside a frame of {len} bytes")));
     }
     parse_batch(&frame).map(Some)
 }
 
-/// Parses a whole frame.
-pub fn parse_batch(frame: &[u8]) -> Result<Batch, Malformed> {
-    let mut c = Cursor { bytes: frame, what: "a frame" };
-    let (number, len, clock, count) = (c.u32()?, c.u32()?, c.u64()?, c.u32()?);
+/// Decodes a whole frame.
+pub fn parse_batch(frame: &[u8]) -> Result<Batch, WireError> {
+    let mut cursor = Cursor { bytes: frame, context: "frame" };
+    let (number, len, clock, count) = (cursor.u32()?, cursor.u32()?, cursor.u64()?, cursor.u32()?);
     if len as usize != frame.len() {
-        return Err(Malformed(format!("a frame of {} bytes gives its length as {len}", frame.len())));
+        return Err(WireError(format!("frame of {} bytes declares length {len}", frame.len())));
     }
     let mut records = Vec::new();
     for _ in 0..count {
-        let (code, size) = (c.u8()?, c.u32()? as usize);
-        records.push(parse_record(code, c.take(size)?)?);
+        let (code, size) = (cursor.u8()?, cursor.u32()? as usize);
+        records.push(parse_record(code, cursor.take(size)?)?);
     }
-    c.end()?;
+    cursor.expect_end()?;
     Ok(Batch { number, clock, records })
 }
 
-#[rustfmt::skip]
-fn parse_record(code: u8, bytes: &[u8]) -> Result<Input, Malformed> {
-    let mut c = Cursor { bytes, what: "a record" };
+fn parse_record(code: u8, bytes: &[u8]) -> Result<Input, WireError> {
+    let mut cursor = Cursor { bytes, context: "record" };
     let record = match code {
         1 => {
-            let (i, salt, n) = (c.u16()?, c.u64()?, c.u32()? as usize);
-            Input::Born { i, salt, env: c.take(n)?.to_vec() }
+            let (i, salt, n) = (cursor.u16()?, cursor.u64()?, cursor.u32()? as usize);
+            Input::Born { i, salt, env: cursor.take(n)?.to_vec() }
         }
-        2 => Input::Targets { i: c.u16()?, scope: c.u8()?, rev: c.u32()?, sheet: c.u16()? },
-        3 => Input::Query { i: c.u16()?, id: c.u64()?, class: c.u16()?, destination: c.f32()?, flags: c.u16()?,
-            tenant: c.u16()?, hint: c.u32()?, key: c.u64()?, expires: c.u64()? },
-        4 => Input::Started { i: c.u16()?, id: c.u64()?, attempt: c.u8()?, target: c.u32()?, took: c.u32()? },
-        5 => Input::Resolved { i: c.u16()?, id: c.u64()?, attempt: c.u8()?, target: c.u32()?, status: c.u16()?,
-            took: c.u32()?, ended: c.u8()? != 0, wait_ms: c.u32()?, feedback: c.floats()? },
-        6 => Input::Lapsed { i: c.u16()?, id: c.u64()? },
-        7 => Input::Wakeup { i: c.u16()?, cookie: c.u32()? },
-        8 => Input::Echo { i: c.u16()?, target: c.u32()?, status: c.u16()?, took: c.u32()?, feedback: c.floats()? },
+        2 => {
+            Input::Targets { i: cursor.u16()?, scope: cursor.u8()?, rev: cursor.u32()?, sheet: cursor.u16()? }
+        }
+        3 => Input::Query {
+            i: cursor.u16()?,
+            id: cursor.u64()?,
+            class: cursor.u16()?,
+            destination: cursor.f32()?,
+            flags: cursor.u16()?,
+            tenant: cursor.u16()?,
+            hint: cursor.u32()?,
+            key: cursor.u64()?,
+            expires: cursor.u64()?,
+        },
+        4 => Input::Started {
+            i: cursor.u16()?,
+            id: cursor.u64()?,
+            attempt: cursor.u8()?,
+            target: cursor.u32()?,
+            took: cursor.u32()?,
+        },
+        5 => Input::Resolved {
+            i: cursor.u16()?,
+            id: cursor.u64()?,
+            attempt: cursor.u8()?,
+            target: cursor.u32()?,
+            status: cursor.u16()?,
+            took: cursor.u32()?,
+            ended: cursor.u8()? != 0,
+            wait_ms: cursor.u32()?,
+            feedback: cursor.f32_list()?,
+        },
+        6 => Input::Lapsed { i: cursor.u16()?, id: cursor.u64()? },
+        7 => Input::Wakeup { i: cursor.u16()?, cookie: cursor.u32()? },
+        8 => Input::Echo {
+            i: cursor.u16()?,
+            target: cursor.u32()?,
+            status: cursor.u16()?,
+            took: cursor.u32()?,
+            feedback: cursor.f32_list()?,
+        },
         9 => {
-            let (i, who, n) = (c.u16()?, c.u32()?, c.u16()? as usize);
-            Input::Peer { i, who, body: c.take(n)?.to_vec() }
+            let (i, who, n) = (cursor.u16()?, cursor.u32()?, cursor.u16()? as usize);
+            Input::Peer { i, who, body: cursor.take(n)?.to_vec() }
         }
-        10 => Input::Down { i: c.u16()? },
+        10 => Input::Down { i: cursor.u16()? },
         11 => {
-            let (sheet, n) = (c.u16()?, c.u32()? as usize);
-            if c.bytes.len() / ENTRY < n {
-                return Err(Malformed(format!("a list of {n} entries is too short")));
+            let (sheet, n) = (cursor.u16()?, cursor.u32()? as usize);
+            if cursor.bytes.len() / ENTRY_BYTES < n {
+                return Err(WireError(format!("list record is too short for {n} entries")));
             }
-            let items = (0..n).map(|_| parse_entry(&mut c)).collect::<Result<_, _>>()?;
+            let items = (0..n).map(|_| parse_entry(&mut cursor)).collect::<Result<_, _>>()?;
             Input::Roster { sheet, items }
         }
-        _ => return Err(Malformed(format!("a record has the unknown code {code}"))),
+        _ => return Err(WireError(format!("unknown record code {code}"))),
     };
-    c.end()?;
+    cursor.expect_end()?;
     Ok(record)
 }
 
-fn parse_entry(c: &mut Cursor<'_>) -> Result<Entry, Malformed> {
+fn parse_entry(cursor: &mut Cursor<'_>) -> Result<Entry, WireError> {
     Ok(Entry {
-        target: c.u32()?,
-        zone: c.u8()?,
-        kind: c.u16()?,
-        destination: c.u16()?,
-        status: c.u8()?,
-        size: c.f32()?,
-        launched: c.u64()?,
+        target: cursor.u32()?,
+        zone: cursor.u8()?,
+        kind: cursor.u16()?,
+        destination: cursor.u16()?,
+        status: cursor.u8()?,
+        size: cursor.f32()?,
+        launched: cursor.u64()?,
     })
 }
 
-/// A reply under construction.
+/// Encodes the records of a reply.
 pub struct Reply {
     bytes: Vec<u8>,
     count: u32,
 }
 
 impl Reply {
-    /// An empty reply to batch `number`.
+    /// Starts the reply to batch `number`.
     pub fn new(number: u32) -> Self {
         let mut bytes = number.to_le_bytes().to_vec();
-        bytes.resize(REPLY_HEADER, 0);
+        bytes.resize(REPLY_HEADER_BYTES, 0);
         Reply { bytes, count: 0 }
     }
 
-    /// Adds a record.
-    #[rustfmt::skip]
+    /// Appends a record.
     pub fn push(&mut self, record: &Output) {
         let start = self.bytes.len();
-        let b = &mut self.bytes;
-        b.extend([0; RECORD_HEADER]);
-        let put = |b: &mut Vec<u8>, i: &u16| b.extend(i.to_le_bytes());
+        let buffer = &mut self.bytes;
+        buffer.extend([0; RECORD_HEADER_BYTES]);
+        let put_instance = |buffer: &mut Vec<u8>, i: &u16| buffer.extend(i.to_le_bytes());
         let code = match record {
             Output::Forward { i, id, not_past, target } => {
-                put(b, i); b.extend(id.to_le_bytes()); b.extend(not_past.to_le_bytes()); b.extend(target.to_le_bytes());
+                put_instance(buffer, i);
+                buffer.extend(id.to_le_bytes());
+                buffer.extend(not_past.to_le_bytes());
+                buffer.extend(target.to_le_bytes());
                 65
             }
             Output::Share { i, peer, body } => {
-                put(b, i); b.extend(peer.to_le_bytes()); put_short(b, body);
+                put_instance(buffer, i);
+                buffer.extend(peer.to_le_bytes());
+                put_length_prefixed(buffer, body);
                 66
             }
             Output::After { i, sleep_for, cookie } => {
-                put(b, i); b.extend(sleep_for.to_le_bytes()); b.extend(cookie.to_le_bytes());
+                put_instance(buffer, i);
+                buffer.extend(sleep_for.to_le_bytes());
+                buffer.extend(cookie.to_le_bytes());
                 67
             }
-            Output::Lookup { i } => { put(b, i); 68 }
+            Output::Lookup { i } => {
+                put_instance(buffer, i);
+                68
+            }
             Output::Refuse { i, id, cool_down } => {
-                put(b, i); b.extend(id.to_le_bytes()); b.extend(cool_down.to_le_bytes());
+                put_instance(buffer, i);
+                buffer.extend(id.to_le_bytes());
+                buffer.extend(cool_down.to_le_bytes());
                 69
             }
-            Output::JournalLine { i, message } => { put(b, i); put_short(b, message.as_bytes()); 70 }
-            Output::KeepInformed { i, enable } => { put(b, i); b.push(u8::from(*enable)); 71 }
-            Output::ShutIdle { i, target } => { put(b, i); b.extend(target.to_le_bytes()); 72 }
-            Output::Revoke { i, id, attempt } => { put(b, i); b.extend(id.to_le_bytes()); b.push(*attempt); 73 }
-            Output::Surrender { i, id } => { put(b, i); b.extend(id.to_le_bytes()); 74 }
-            Output::Fault { i, message } => { put(b, i); put_short(b, message.as_bytes()); 75 }
-            Output::Probe { i, target } => { put(b, i); b.extend(target.to_le_bytes()); 76 }
+            Output::JournalLine { i, message } => {
+                put_instance(buffer, i);
+                put_length_prefixed(buffer, message.as_bytes());
+                70
+            }
+            Output::KeepInformed { i, enable } => {
+                put_instance(buffer, i);
+                buffer.push(u8::from(*enable));
+                71
+            }
+            Output::ShutIdle { i, target } => {
+                put_instance(buffer, i);
+                buffer.extend(target.to_le_bytes());
+                72
+            }
+            Output::Revoke { i, id, attempt } => {
+                put_instance(buffer, i);
+                buffer.extend(id.to_le_bytes());
+                buffer.push(*attempt);
+                73
+            }
+            Output::Surrender { i, id } => {
+                put_instance(buffer, i);
+                buffer.extend(id.to_le_bytes());
+                74
+            }
+            Output::Fault { i, message } => {
+                put_instance(buffer, i);
+                put_length_prefixed(buffer, message.as_bytes());
+                75
+            }
+            Output::Probe { i, target } => {
+                put_instance(buffer, i);
+                buffer.extend(target.to_le_bytes());
+                76
+            }
         };
-        let size = (b.len() - start - RECORD_HEADER) as u32;
-        b[start] = code;
-        b[start + 1..start + RECORD_HEADER].copy_from_slice(&size.to_le_bytes());
+        let size = (buffer.len() - start - RECORD_HEADER_BYTES) as u32;
+        buffer[start] = code;
+        buffer[start + 1..start + RECORD_HEADER_BYTES].copy_from_slice(&size.to_le_bytes());
         self.count += 1;
     }
 
-    /// The finished frame.
+    /// Completes the header and returns the frame.
     pub fn finish(mut self) -> Vec<u8> {
         let len = self.bytes.len() as u32;
         self.bytes[4..8].copy_from_slice(&len.to_le_bytes());
@@ -278,11 +404,11 @@
     }
 }
 
-/// Bytes behind a 16-bit count; what does not fit the count is cut off.
-fn put_short(b: &mut Vec<u8>, body: &[u8]) {
+/// Writes `body` behind its length in 16 bits. A longer body is truncated to what the length can express.
+fn put_length_prefixed(buffer: &mut Vec<u8>, body: &[u8]) {
     let body = &body[..body.len().min(usize::from(u16::MAX))];
-    b.extend((body.len() as u16).to_le_bytes());
-    b.extend(body);
+    buffer.extend((body.len() as u16).to_le_bytes());
+    buffer.extend(body);
 }
 
 #[cfg(test)]
--- a/src/bin/hatchline-adapter/wire_tests.rs
+++ b/src/bin/hatchline-adapter/wire_tests.rs
@@ -1,4 +1,4 @@
-//! The worked frames as bytes, every record at every shorter length, and what is malformed.
+//! Decoding and encoding of the example frames, of truncated records and of malformed frames.
 
 use super::*;
 
@@ -17,9 +17,9 @@
     out
 }
 
-/// Each event as bytes beside its value.
+/// Each event record, as bytes and decoded.
 fn events() -> Vec<(Vec<u8>, Input)> {
-    let e = |target, size: f32, launched| Entry {
+    let entry = |target, size: f32, launched| Entry {
         target,
         zone: 0,
         kind: 0,
@@ -85,20 +85,20 @@
                 "0b 32000000 0000 02000000 074a1203 00 0000 3900 03 0000803f 0000000000000000
                  f211902c 00 0000 3900 03 0000c03f 20145d0000000000",
             ),
-            Input::Roster { sheet: 0, items: vec![e(0x03124a07, 1.0, 0), e(0x2c9011f2, 1.5, 0x5d1420)] },
+            Input::Roster { sheet: 0, items: vec![entry(0x03124a07, 1.0, 0), entry(0x2c9011f2, 1.5, 0x5d1420)] },
         ),
     ]
 }
 
 #[test]
-fn every_event_is_read() {
+fn every_event_is_decoded() {
     for (raw, value) in events() {
         assert_eq!(parse_batch(&frame(&[&raw])).unwrap().records, vec![value]);
     }
 }
 
 #[test]
-fn every_shorter_record_is_malformed() {
+fn truncated_and_oversized_records_are_malformed() {
     for (raw, value) in events() {
         for cut in 5..raw.len() {
             let mut short = raw[..cut].to_vec();
@@ -108,12 +108,12 @@
         let mut long = raw.clone();
         long.push(0);
         long[1..5].copy_from_slice(&((raw.len() - 4) as u32).to_le_bytes());
-        assert!(parse_batch(&frame(&[&long])).is_err(), "{value:?} with a byte too many");
+        assert!(parse_batch(&frame(&[&long])).is_err(), "{value:?} with an extra byte");
     }
 }
 
 #[test]
-fn a_stream_cut_at_any_length_is_malformed_but_between_frames() {
+fn input_may_end_only_between_frames() {
     let whole = frame(&[&events()[4].0, &events()[5].0]);
     for cut in 1..whole.len() {
         assert!(read_batch(&mut &whole[..cut]).is_err(), "cut to {cut}");
@@ -137,26 +137,26 @@
 }
 
 #[test]
-fn the_worked_reply_is_written() {
+fn example_reply_is_encoded() {
     let mut reply = Reply::new(12);
     let id = 0x681f_5d3a_91c4;
     reply.push(&Output::Forward { i: 3, id, not_past: 0x8194da, target: 0x03124a07 });
     reply.push(&Output::After { i: 3, sleep_for: 500_000, cookie: 77 });
     reply.push(&Output::JournalLine { i: 5, message: "two servers unknown".into() });
-    let wanted = bytes(
+    let expected = bytes(
         "0c000000 57000000 03000000
          41 16000000 0300 c4913a5d1f680000 da94810000000000 074a1203
          43 0a000000 0300 20a10700 4d000000
          46 17000000 0500 1300 74776f207365727665727320756e6b6e6f776e",
     );
-    let mut wanted = wanted;
-    let len = wanted.len() as u32;
-    wanted[4..8].copy_from_slice(&len.to_le_bytes());
-    assert_eq!(reply.finish(), wanted);
+    let mut expected = expected;
+    let len = expected.len() as u32;
+    expected[4..8].copy_from_slice(&len.to_le_bytes());
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn every_other_action_is_written() {
+fn every_other_action_is_encoded() {
     let id = 0x0001_3d6b_0e6f_2b19;
     let cases = [
         (
