--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -1,9 +1,10 @@
-//! What a new version and the old process tell each other from the takeover until the old one has ended.
+//! Draining after a hot restart: the old process completes its calls and serves its client connections, and the new
+//! owner of the write-ahead log decides on their messages. The two exchange frames until the old process ends.
 
 use crate::clock::Clock;
 use crate::events::{AdminRequest, AdminResponse, Answer, CallEnd, Input, Inputs, Receipt, Stage};
 use crate::figures::{Ended, Figures};
-use crate::hot_restart::{frame, length_of};
+use crate::hot_restart::{encode_frame, frame_length};
 use crate::message::Message;
 use crate::places::Places;
 use crate::write_ahead_log::AcceptedMessage;
@@ -23,22 +24,22 @@
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How long what an ending process still has to say may take.
-const LAST_WORDS: Duration = Duration::from_millis(200);
-/// How often an old process looks whether anything is left for it to do.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time for the frames of an ending process to be written.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
+/// How often a draining process checks whether it has anything left to do.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-async fn next_frame<T: DeserializeOwned>(stream: &mut OwnedReadHalf) -> io::Result<T> {
+async fn read_frame<T: DeserializeOwned>(stream: &mut OwnedReadHalf) -> io::Result<T> {
     let mut head = [0; 4];
     stream.read_exact(&mut head).await?;
-    let mut content = vec![0; length_of(head)?];
+    let mut content = vec![0; frame_length(head)?];
     stream.read_exact(&mut content).await?;
     postcard::from_bytes(&content).map_err(io::Error::other)
 }
 
-/// What the old process tells the owner.
+/// A frame from the old process to the owner.
 #[derive(Debug, Serialize, Deserialize)]
-enum FromOld {
+enum PredecessorFrame {
     CallEnded {
         number: u64,
         attempt: u32,
@@ -54,64 +55,65 @@
         number: u64,
         written: bool,
     },
-    /// Handed in on a connection that it still has; the name of the answer.
+    /// A message submitted on a client connection of the old process, and the number of that request.
     HandIn {
-        name: u64,
+        request: u64,
         accepted: AcceptedMessage,
     },
 }
 
-/// And the other way.
+/// A frame from the owner to the old process.
 #[derive(Debug, Serialize, Deserialize)]
-enum FromOwner {
+enum OwnerFrame {
     Cancel { number: u64, attempt: u32 },
-    TakenOn { name: u64, number: u64 },
-    Refused { name: u64, retry_in_ms: u64 },
+    TakenOn { request: u64, number: u64 },
+    Refused { request: u64, retry_in_ms: u64 },
 }
 
-/// A call of the old process: message, attempt, target, and what tells that it is called off.
+/// A call of the old process: message number, attempt, target, and the receiver of its cancellation.
 pub(crate) type InheritedCall = (u64, u32, TargetId, oneshot::Receiver<()>);
 
-/// What keeps the owner in touch with the process that it took over from.
+/// The link of the owner to the process that it took over from.
 pub(crate) struct PredecessorLink {
-    pub inputs: Inputs,
+    pub events: Inputs,
     pub settings: Arc<Parsed>,
     pub calls: Vec<InheritedCall>,
-    /// Messages whose clients it is telling that they are taken on.
-    pub answering: BTreeSet<u64>,
-    /// Places that its connections take.
-    pub reserved: Option<OwnedSemaphorePermit>,
+    /// Messages whose clients the old process is telling that they are accepted.
+    pub responding: BTreeSet<u64>,
+    /// Permits for the client connections of the old process.
+    pub reserved_connections: Option<OwnedSemaphorePermit>,
     pub clock: Clock,
 }
 
-/// What the owner's parts want the old process told.
-enum Word {
+/// A command of the owner to the old process.
+enum Command {
     Cancel { number: u64, attempt: u32 },
-    Answer { name: u64, answer: Answer },
+    Answer { request: u64, answer: Answer },
 }
 
 impl PredecessorLink {
-    /// Passes on what the old process tells, until it has ended. What it leaves open then has an end too: its calls
-    /// may have run, and clients may have heard that their messages are taken on.
+    /// Passes the frames of the old process on to the node until that process has ended. Whatever it leaves
+    /// unfinished is then ended here: its calls may have run, and clients may have been told that their messages are
+    /// accepted.
     pub async fn run(self, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
-        let PredecessorLink { inputs, settings, calls, mut answering, reserved, clock } = self;
-        let (words, mut said) = mpsc::unbounded_channel();
-        let mut open: BTreeMap<(u64, u32), TargetId> = BTreeMap::new();
+        let PredecessorLink { events, settings, calls, mut responding, reserved_connections, clock } = self;
+        let (command_sender, mut commands) = mpsc::unbounded_channel();
+        let mut open_calls: BTreeMap<(u64, u32), TargetId> = BTreeMap::new();
         for (number, attempt, target, cancelled) in calls {
-            open.insert((number, attempt), target);
-            let words = words.clone();
+            open_calls.insert((number, attempt), target);
+            let command_sender = command_sender.clone();
             tokio::spawn(async move {
                 if cancelled.await.is_ok() {
-                    let _ = words.send(Word::Cancel { number, attempt });
+                    let _ = command_sender.send(Command::Cancel { number, attempt });
                 }
             });
         }
         let mut receipts: BTreeMap<u64, Receipt> = BTreeMap::new();
-        let (frames, mut heard) = mpsc::unbounded_channel();
+        let (frames, mut received) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            while let Ok(frame) = next_frame::<FromOld>(&mut reader).await {
+            while let Ok(frame) = read_frame::<PredecessorFrame>(&mut reader).await {
                 if frames.send(frame).is_err() {
                     return;
                 }
@@ -120,27 +122,27 @@
         loop {
             tokio::select! {
                 biased;
-                Some(word) = said.recv() => {
-                    let frame = match word {
-                        Word::Cancel { number, attempt } => FromOwner::Cancel { number, attempt },
-                        Word::Answer { name, answer: Answer::TakenOn(receipt) } => {
+                Some(command) = commands.recv() => {
+                    let frame = match command {
+                        Command::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
+                        Command::Answer { request, answer: Answer::TakenOn(receipt) } => {
                             let number = receipt.number();
                             receipts.insert(number, receipt);
-                            FromOwner::TakenOn { name, number }
+                            OwnerFrame::TakenOn { request, number }
                         }
-                        Word::Answer { name, answer: Answer::Refused { retry_in_ms } } =>
-                            FromOwner::Refused { name, retry_in_ms },
+                        Command::Answer { request, answer: Answer::Refused { retry_in_ms } } =>
+                            OwnerFrame::Refused { request, retry_in_ms },
                     };
-                    // If it has ended, so has its side of the stream.
+                    // If the old process has ended, its side of the stream is closed too.
                     let _ = write_to(&mut writer, &frame).await;
                 }
-                frame = heard.recv() => match frame {
-                    Some(FromOld::CallEnded {
+                frame = received.recv() => match frame {
+                    Some(PredecessorFrame::CallEnded {
                         number, attempt, target, outcome, over, took, idle_for, wait, report,
                     }) => {
-                        open.remove(&(number, attempt));
+                        open_calls.remove(&(number, attempt));
                         let now = Instant::now();
-                        inputs.send(Input::CallEnded(CallEnd {
+                        events.send(Input::CallEnded(CallEnd {
                             begun: now.checked_sub(took).unwrap_or(now),
                             wait_until: wait.and_then(|wait| now.checked_add(wait)),
                             idle_for,
@@ -148,21 +150,21 @@
                             ..CallEnd::new(number, attempt, target, outcome, over)
                         }));
                     }
-                    Some(FromOld::Answered { number, written }) => match receipts.remove(&number) {
+                    Some(PredecessorFrame::Answered { number, written }) => match receipts.remove(&number) {
                         Some(mut receipt) => receipt.written = written,
                         None => {
-                            answering.remove(&number);
-                            inputs.send(Input::Answered { number, written });
+                            responding.remove(&number);
+                            events.send(Input::Answered { number, written });
                         }
                     },
-                    Some(FromOld::HandIn { name, accepted }) => {
+                    Some(PredecessorFrame::HandIn { request, accepted }) => {
                         let message = Message::from_accepted(accepted, &settings, &clock);
                         let (reply, answer) = oneshot::channel();
-                        inputs.send(Input::HandIn { message: Arc::new(message), reply });
-                        let words = words.clone();
+                        events.send(Input::HandIn { message: Arc::new(message), reply });
+                        let command_sender = command_sender.clone();
                         tokio::spawn(async move {
                             if let Ok(answer) = answer.await {
-                                let _ = words.send(Word::Answer { name, answer });
+                                let _ = command_sender.send(Command::Answer { request, answer });
                             }
                         });
                     }
@@ -170,63 +172,64 @@
                 },
             }
         }
-        for ((number, attempt), target) in open {
-            inputs.send(Input::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
+        for ((number, attempt), target) in open_calls {
+            events.send(Input::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
         }
         receipts.into_values().for_each(|mut receipt| receipt.written = true);
-        answering.into_iter().for_each(|number| inputs.send(Input::Answered { number, written: true }));
-        drop(reserved);
+        responding.into_iter().for_each(|number| events.send(Input::Answered { number, written: true }));
+        drop(reserved_connections);
         eprintln!("upgrade: the old process has ended");
         Ok(())
     }
 }
 
 async fn write_to(writer: &mut OwnedWriteHalf, content: &impl Serialize) -> io::Result<()> {
-    writer.write_all(&frame(content)?).await
+    writer.write_all(&encode_frame(content)?).await
 }
 
-/// What is left of a process that has handed over: its calls in flight and its clients' connections.
+/// A process that has handed over: its calls in flight and the connections of its clients.
 pub(crate) struct DrainingProcess {
-    /// What calls each off, unless it has been.
+    /// The sender that cancels each call, unless it has been used.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
     pub figures: Figures,
     pub pool: Pool,
-    pub inputs: Inputs,
+    pub events: Inputs,
     pub settings: Arc<Parsed>,
     pub clock: Clock,
     pub stage: watch::Sender<Stage>,
     pub places: Places,
-    /// After the signal to end: when idle connections close, and by when the process has ended.
+    /// After a signal to terminate: when idle connections close, and by when the process has ended.
     pub close_idle_after: Duration,
     pub exit_within: Duration,
 }
 
-/// How it ended.
+/// Why the process ends.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ExitReason {
+    /// Nothing is left to do, or the time to terminate is over.
     Completed,
-    /// The successor has ended first, and nobody owns the log.
+    /// The successor has ended first: no process owns the write-ahead log.
     SuccessorLost,
 }
 
 impl DrainingProcess {
-    /// Serves the successor until nothing is left to do.
+    /// Drains on behalf of the successor until nothing is left to do.
     pub async fn run(
         mut self, stream: UnixStream, mut receiver: UnboundedReceiver<Input>,
     ) -> io::Result<ExitReason> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
-        let (frames, mut heard) = mpsc::unbounded_channel();
+        let (frames, mut received) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            while let Ok(frame) = next_frame::<FromOwner>(&mut reader).await {
+            while let Ok(frame) = read_frame::<OwnerFrame>(&mut reader).await {
                 if frames.send(frame).is_err() {
                     return;
                 }
             }
         });
-        let (tell, mut told) = mpsc::unbounded_channel::<FromOld>();
-        let writing = tokio::spawn(async move {
-            while let Some(frame) = told.recv().await {
+        let (frame_sender, mut outgoing) = mpsc::unbounded_channel::<PredecessorFrame>();
+        let writer_task = tokio::spawn(async move {
+            while let Some(frame) = outgoing.recv().await {
                 if write_to(&mut writer, &frame).await.is_err() {
                     return;
                 }
@@ -234,65 +237,65 @@
         });
         let mut replies: BTreeMap<u64, oneshot::Sender<Answer>> = BTreeMap::new();
         let mut calls = std::mem::take(&mut self.calls);
-        let (mut next_name, mut terminated, mut look) = (0, None, Instant::now() + LOOK);
-        let rest = loop {
+        let (mut last_request, mut terminated, mut next_check) = (0, None, Instant::now() + CHECK_INTERVAL);
+        let reason = loop {
             tokio::select! {
                 biased;
                 Some(input) = receiver.recv() => match input {
                     Input::HandIn { message, reply } => {
-                        next_name += 1;
-                        replies.insert(next_name, reply);
+                        last_request += 1;
+                        replies.insert(last_request, reply);
                         let accepted = message.to_accepted(&self.settings, &self.clock);
-                        let _ = tell.send(FromOld::HandIn { name: next_name, accepted });
+                        let _ = frame_sender.send(PredecessorFrame::HandIn { request: last_request, accepted });
                     }
                     Input::Terminate => terminated = terminated.or(Some(Instant::now())),
                     Input::CallEnded(end) => {
                         calls.remove(&(end.number, end.attempt));
-                        let _ = tell.send(ended(end));
+                        let _ = frame_sender.send(call_ended_frame(end));
                     }
-                    other => self.pass_on(other, &tell),
+                    other => self.forward(other, &frame_sender),
                 },
-                frame = heard.recv() => match frame {
-                    Some(FromOwner::Cancel { number, attempt }) => {
-                        // A call that has just ended tells its own end.
+                frame = received.recv() => match frame {
+                    Some(OwnerFrame::Cancel { number, attempt }) => {
+                        // A call that has just ended reports its own end.
                         let cancel = calls.get_mut(&(number, attempt)).and_then(Option::take);
                         let _ = cancel.map(|cancel| cancel.send(()));
                     }
-                    Some(FromOwner::TakenOn { name, number }) => {
+                    Some(OwnerFrame::TakenOn { request, number }) => {
                         // If the client has gone, the receipt is dropped here and says so.
-                        let answer = Answer::TakenOn(Receipt::new(number, self.inputs.clone()));
-                        let _ = replies.remove(&name).map(|reply| reply.send(answer));
+                        let answer = Answer::TakenOn(Receipt::new(number, self.events.clone()));
+                        let _ = replies.remove(&request).map(|reply| reply.send(answer));
                     }
-                    Some(FromOwner::Refused { name, retry_in_ms }) => {
+                    Some(OwnerFrame::Refused { request, retry_in_ms }) => {
                         let answer = Answer::Refused { retry_in_ms };
-                        let _ = replies.remove(&name).map(|reply| reply.send(answer));
+                        let _ = replies.remove(&request).map(|reply| reply.send(answer));
                     }
                     None if terminated.is_some() => break ExitReason::Completed,
                     None => break ExitReason::SuccessorLost,
                 },
-                () = sleep_until(look) => {
-                    look = Instant::now() + LOOK;
-                    let left = !(calls.is_empty() && replies.is_empty() && self.places.taken() == 0);
-                    let since = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
-                    if !left || since >= self.exit_within {
+                () = sleep_until(next_check) => {
+                    next_check = Instant::now() + CHECK_INTERVAL;
+                    let busy = !(calls.is_empty() && replies.is_empty() && self.places.taken() == 0);
+                    let since_terminate = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
+                    if !busy || since_terminate >= self.exit_within {
                         break ExitReason::Completed;
                     }
-                    if since >= self.close_idle_after {
+                    if since_terminate >= self.close_idle_after {
                         self.stage.send_replace(Stage::Closing);
                     }
                 }
             }
         };
-        drop(tell);
-        let _ = timeout(LAST_WORDS, writing).await;
-        Ok(rest)
+        drop(frame_sender);
+        let _ = timeout(FINAL_WRITE_TIMEOUT, writer_task).await;
+        Ok(reason)
     }
 
-    fn pass_on(&mut self, input: Input, tell: &UnboundedSender<FromOld>) {
-        // If the successor has ended, that shows where its words are awaited.
+    fn forward(&mut self, input: Input, frame_sender: &UnboundedSender<PredecessorFrame>) {
+        // If the successor has ended, `run` notices it when it reads the next frame.
         match input {
             Input::Answered { number, written } => {
-                let _ = tell.send(FromOld::Answered { number, written });
+                let _ = frame_sender.send(PredecessorFrame::Answered { number, written });
             }
             Input::Written { class } => self.figures.tried(class),
             Input::TurnedAway { class } => self.figures.ended(class, Ended::Shed),
@@ -306,15 +309,15 @@
                     }
                 });
             }
-            // The successor watches the list, sends the notices, and reads the configuration itself.
+            // The successor itself watches the endpoint list, sends the notices and reads the configuration.
             _ => {}
         }
     }
 }
 
-/// Its connection ends here.
-fn ended(end: CallEnd) -> FromOld {
-    FromOld::CallEnded {
+/// The frame for the end of a call. The connection of the call is closed.
+fn call_ended_frame(end: CallEnd) -> PredecessorFrame {
+    PredecessorFrame::CallEnded {
         number: end.number,
         attempt: end.attempt,
         target: end.target,
@@ -333,17 +336,18 @@
     use crate::events;
     use serde_json::json;
 
-    /// What it refuses for want of time its clients have heard from it: it counts there.
+    /// Guards against uncounted refusals: a client that the old process refused for lack of time has its response
+    /// from it, so the successor does not count that message.
     #[test]
-    fn an_old_process_counts_what_it_turns_away() {
+    fn a_draining_process_counts_its_refusals() {
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
         let settings = json!({"balancers": 1, "categories": classes, "limits": {}});
         let settings: Arc<Parsed> = Arc::new(serde_json::from_value(settings).unwrap());
-        let mut old = DrainingProcess {
+        let mut process = DrainingProcess {
             calls: BTreeMap::new(),
             figures: Figures::new(&settings.class_names),
             pool: Pool::default(),
-            inputs: events::channel().0,
+            events: events::channel().0,
             settings,
             clock: Clock::new(),
             stage: watch::Sender::new(Stage::Succeeded),
@@ -351,8 +355,8 @@
             close_idle_after: Duration::ZERO,
             exit_within: Duration::ZERO,
         };
-        old.pass_on(Input::TurnedAway { class: 0 }, &mpsc::unbounded_channel().0);
-        let text = old.figures.text(0, old.pool);
+        process.forward(Input::TurnedAway { class: 0 }, &mpsc::unbounded_channel().0);
+        let text = process.figures.text(0, process.pool);
         assert!(text.contains("responses.note.shed=1"), "{text}");
     }
 }
--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -1,4 +1,5 @@
-//! A new version takes over from the one that runs: who owns the log, and the exchange in which that changes hands.
+//! Hot restart: a new process takes over from the running one. This module has the lock that tells who owns the
+//! write-ahead log, and the exchange in which the ownership changes hands.
 
 use crate::events::{Input, Inputs};
 use hatchline::settings::Parsed;
@@ -19,28 +20,30 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for the other side in the exchange; the owner decides nothing meanwhile.
-const EXCHANGE_WAIT: Duration = Duration::from_secs(1);
-/// Pause before a successor asks again.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// No frame is longer: the module's state with all that may be held.
-const LONGEST: usize = 64 << 20;
-/// A name in a socket's address has room for so many bytes.
-const LONGEST_PATH: usize = 100;
+/// Timeout of each step of the exchange. The owner decides nothing while it waits.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before a successor tries again.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Longest content of a frame: the policy state with as many messages as may be held.
+const MAX_FRAME_BYTES: usize = 64 << 20;
+/// Longest path that fits into a Unix socket address.
+const MAX_SOCKET_PATH_BYTES: usize = 100;
 
-/// The bytes of the exchange: descriptors come with the first, the successor could take over, it is the owner.
+/// The bytes of the exchange, in their order: the file descriptors come with the first, the successor is ready to
+/// take over, the successor is the owner.
 const DESCRIPTORS: u8 = 1;
-const COULD: u8 = 2;
-const YOURS: u8 = 3;
+const SUCCESSOR_READY: u8 = 2;
+const OWNERSHIP_GRANTED: u8 = 3;
 
-/// Held by the owner of the log, through its process's end however that comes.
+/// File lock that the owner of the write-ahead log holds. The kernel releases it when the owner ends, in whatever
+/// way.
 #[derive(Debug)]
 pub(crate) struct LogLock(File);
 
 impl LogLock {
-    /// The lock, if no other process has it.
-    fn try_take(state: &Path) -> io::Result<Option<LogLock>> {
-        let file = File::options().create(true).append(true).open(state.join("lock"))?;
+    /// Takes the lock, unless another process holds it.
+    fn try_acquire(state_directory: &Path) -> io::Result<Option<LogLock>> {
+        let file = File::options().create(true).append(true).open(state_directory.join("lock"))?;
         match file.try_lock() {
             Ok(()) => Ok(Some(LogLock(file))),
             Err(TryLockError::WouldBlock) => Ok(None),
@@ -49,145 +52,157 @@
     }
 }
 
-/// What stands in the way of a takeover where it differs: the layout of the state, and the names in it that are
-/// places in lists.
+/// Identifies the format of the transferred state: its layout, and the names that it refers to by their position in
+/// the settings. A takeover needs equal formats.
 pub(crate) fn state_format(settings: &Parsed) -> String {
     let Parsed { class_names, kind_names, zone_names, .. } = settings;
     format!("{} {class_names:?} {kind_names:?} {zone_names:?}", hatchline::FORMAT)
 }
 
-/// A message that is held, as far as the log does not tell.
+/// State of a held message that the write-ahead log does not contain.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct MessageState {
     pub number: u64,
     pub attempts: u32,
-    /// Whether its client has been told that it is taken on.
+    /// Whether its client has been told that it is accepted.
     pub acknowledged: bool,
-    /// A send that the module has decided on: attempt, target, until, decided.
+    /// A send that the policy has decided on and that has not started: attempt, target, time of its timeout, time of
+    /// the decision.
     pub waiting: Option<(u32, TargetId, Micros, Micros)>,
 }
 
-/// All that a successor needs beside the log.
+/// The state that a successor needs beside the write-ahead log.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct TakeoverState {
-    /// The owner's clock, and the time of day that it was then.
-    pub now: Micros,
-    pub unix: Micros,
+    /// The owner's clock, and the Unix time at that moment.
+    pub clock_now: Micros,
+    pub unix_now: Micros,
+    /// Exported state of the policy.
     pub policy: Vec<u8>,
     pub next_number: u64,
     pub messages: Vec<MessageState>,
-    /// Calls that stay with the old process.
+    /// Calls that the old process completes: message number, attempt, target, and whether the start of the attempt is
+    /// logged.
     pub calls: Vec<(u64, u32, TargetId, bool)>,
-    /// Endpoints by their number: name, address, zone, era.
-    pub servers: Vec<(String, SocketAddr, u32, u32)>,
+    /// Endpoints by target number: name, address, zone, connection generation.
+    pub endpoints: Vec<(String, SocketAddr, u32, u32)>,
+    /// Due time and token of each timer of the policy.
     pub timers: Vec<(Micros, u32)>,
-    /// Connections of clients that stay with the old process.
-    pub clients: usize,
+    /// Client connections that stay with the old process.
+    pub client_connections: usize,
 }
 
 /// How a process starts.
 pub(crate) enum StartMode {
-    /// Nobody owns the log.
+    /// No other process owns the log.
     ColdStart(LogLock),
-    /// The owner would hand over.
+    /// The owner offers to hand over.
     Takeover(Box<TakeoverOffer>),
 }
 
-/// What the owner offers. It goes on as the owner unless this is [accepted](TakeoverOffer::accept) in time.
+/// A takeover that the owner offers. It stays the owner unless the offer is [accepted](TakeoverOffer::accept) in
+/// time.
 pub(crate) struct TakeoverOffer {
-    pub estate: TakeoverState,
+    pub state: TakeoverState,
     stream: UnixStream,
     listener: OwnedFd,
     lock: LogLock,
 }
 
-/// Finds out how to start; waits for as long as an owner neither hands over nor ends.
-pub(crate) async fn acquire_ownership(state: &Path, meeting: &Path, format: &str) -> io::Result<StartMode> {
-    let mut said = false;
+/// Determines how to start. Waits for as long as there is an owner that neither hands over nor ends.
+pub(crate) async fn acquire_ownership(
+    state_directory: &Path, socket_path: &Path, format: &str,
+) -> io::Result<StartMode> {
+    let mut logged = false;
     loop {
-        if let Some(lock) = LogLock::try_take(state)? {
+        if let Some(lock) = LogLock::try_acquire(state_directory)? {
             return Ok(StartMode::ColdStart(lock));
         }
-        let (meeting, format) = (meeting.to_path_buf(), format.to_string());
-        let asked = tokio::task::spawn_blocking(move || ask(&meeting, &format)).await;
-        match asked.map_err(io::Error::other)? {
+        let (socket_path, format) = (socket_path.to_path_buf(), format.to_string());
+        let requested = tokio::task::spawn_blocking(move || request_takeover(&socket_path, &format)).await;
+        match requested.map_err(io::Error::other)? {
             Ok(offer) => return Ok(StartMode::Takeover(Box::new(offer))),
-            Err(error) if !said => eprintln!("upgrade: the owner of the log hands nothing over yet: {error}"),
+            Err(error) if !logged => {
+                eprintln!("upgrade: the owner of the log hands nothing over yet: {error}")
+            }
             Err(_) => {}
         }
-        said = true;
-        sleep(ASK_PAUSE).await;
+        logged = true;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// The folder in which the processes meet, and the socket file in it.
-pub(crate) fn takeover_socket_path(state: &Path) -> PathBuf {
-    let shared = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|folder| folder.is_dir());
-    shared.unwrap_or_else(|| state.to_path_buf()).join("handover")
+/// Path of the Unix socket on which the owner listens for successors.
+pub(crate) fn takeover_socket_path(state_directory: &Path) -> PathBuf {
+    let shared = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|directory| directory.is_dir());
+    shared.unwrap_or_else(|| state_directory.to_path_buf()).join("handover")
 }
 
-/// A path of any length for a socket's address, which has little room: by way of the open folder where need be.
-fn short(path: &Path) -> io::Result<(PathBuf, Option<File>)> {
-    let (Some(folder), Some(name)) = (path.parent(), path.file_name()) else {
-        return Err(io::Error::other("no folder to meet in"));
+/// Returns a path that fits into a socket address. A longer path is reached through its open directory, which must
+/// stay open meanwhile.
+fn short_socket_path(path: &Path) -> io::Result<(PathBuf, Option<File>)> {
+    let (Some(directory), Some(name)) = (path.parent(), path.file_name()) else {
+        return Err(io::Error::other("takeover socket path has no parent directory"));
     };
-    if path.as_os_str().len() <= LONGEST_PATH {
+    if path.as_os_str().len() <= MAX_SOCKET_PATH_BYTES {
         return Ok((path.to_path_buf(), None));
     }
-    let folder = File::open(folder)?;
-    Ok((Path::new(&format!("/proc/self/fd/{}", folder.as_raw_fd())).join(name), Some(folder)))
+    let directory = File::open(directory)?;
+    Ok((Path::new(&format!("/proc/self/fd/{}", directory.as_raw_fd())).join(name), Some(directory)))
 }
 
-fn ask(meeting: &Path, format: &str) -> io::Result<TakeoverOffer> {
-    let (path, _folder) = short(meeting)?;
+/// The side of the successor in the exchange, up to the offer.
+fn request_takeover(socket_path: &Path, format: &str) -> io::Result<TakeoverOffer> {
+    let (path, _directory) = short_socket_path(socket_path)?;
     let mut stream = UnixStream::connect(path)?;
-    bound(&stream)?;
+    set_exchange_timeouts(&stream)?;
     write_frame(&mut stream, &format)?;
     let mut descriptors = receive_descriptors(&stream)?.into_iter();
     let (Some(listener), Some(lock)) = (descriptors.next(), descriptors.next()) else {
-        return Err(io::Error::other("no descriptors came"));
+        return Err(io::Error::other("owner did not send its file descriptors"));
     };
-    let estate = read_frame(&mut stream)?;
-    Ok(TakeoverOffer { estate, stream, listener, lock: LogLock(lock.into()) })
+    let state = read_frame(&mut stream)?;
+    Ok(TakeoverOffer { state, stream, listener, lock: LogLock(lock.into()) })
 }
 
 impl TakeoverOffer {
-    /// Tells the owner that all could be taken over, and waits for its word; without it nothing has changed hands.
+    /// Tells the owner that this process is ready to take over and waits for the grant. On an error nothing has
+    /// changed hands.
     pub fn accept(mut self) -> io::Result<(TakeoverState, LogLock, std::net::TcpListener, UnixStream)> {
-        self.stream.write_all(&[COULD])?;
-        let mut word = [0];
-        self.stream.read_exact(&mut word)?;
-        match word {
-            [YOURS] => Ok((self.estate, self.lock, self.listener.into(), self.stream)),
-            _ => Err(io::Error::other("the owner thought better of it")),
+        self.stream.write_all(&[SUCCESSOR_READY])?;
+        let mut reply = [0];
+        self.stream.read_exact(&mut reply)?;
+        match reply {
+            [OWNERSHIP_GRANTED] => Ok((self.state, self.lock, self.listener.into(), self.stream)),
+            _ => Err(io::Error::other("owner withdrew its offer")),
         }
     }
 }
 
-/// The owner's side of the exchange. With an error it still owns all.
+/// The side of the owner in the exchange. On an error it is still the owner.
 pub(crate) fn offer_takeover(
-    mut stream: &UnixStream, estate: &TakeoverState, listener: &OwnedFd, lock: &LogLock,
+    mut stream: &UnixStream, state: &TakeoverState, listener: &OwnedFd, lock: &LogLock,
 ) -> io::Result<()> {
-    bound(stream)?;
+    set_exchange_timeouts(stream)?;
     send_descriptors(stream, listener, lock)?;
-    write_frame(&mut stream, estate)?;
-    let mut word = [0];
-    stream.read_exact(&mut word)?;
-    if word != [COULD] {
-        return Err(io::Error::other("the successor could not take over"));
+    write_frame(&mut stream, state)?;
+    let mut reply = [0];
+    stream.read_exact(&mut reply)?;
+    if reply != [SUCCESSOR_READY] {
+        return Err(io::Error::other("successor could not take over"));
     }
-    stream.write_all(&[YOURS])
+    stream.write_all(&[OWNERSHIP_GRANTED])
 }
 
-fn bound(stream: &UnixStream) -> io::Result<()> {
+fn set_exchange_timeouts(stream: &UnixStream) -> io::Result<()> {
     stream.set_nonblocking(false)?;
-    stream.set_read_timeout(Some(EXCHANGE_WAIT))?;
-    stream.set_write_timeout(Some(EXCHANGE_WAIT))
+    stream.set_read_timeout(Some(EXCHANGE_TIMEOUT))?;
+    stream.set_write_timeout(Some(EXCHANGE_TIMEOUT))
 }
 
 fn send_descriptors(stream: &UnixStream, listener: &OwnedFd, lock: &LogLock) -> io::Result<()> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-    let mut control = SendAncillaryBuffer::new(&mut space);
+    let mut buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+    let mut control = SendAncillaryBuffer::new(&mut buffer);
     let descriptors = [listener.as_fd(), lock.0.as_fd()];
     control.push(SendAncillaryMessage::ScmRights(&descriptors));
     rustix::net::sendmsg(stream, &[IoSlice::new(&[DESCRIPTORS])], &mut control, SendFlags::NOSIGNAL)?;
@@ -195,11 +210,11 @@
 }
 
 fn receive_descriptors(stream: &UnixStream) -> io::Result<Vec<OwnedFd>> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut first = [0];
-    let mut into = [IoSliceMut::new(&mut first)];
-    rustix::net::recvmsg(stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    let mut buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+    let mut control = RecvAncillaryBuffer::new(&mut buffer);
+    let mut marker = [0];
+    let mut buffers = [IoSliceMut::new(&mut marker)];
+    rustix::net::recvmsg(stream, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
     let rights = control.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(descriptors) => Some(descriptors),
         _ => None,
@@ -207,65 +222,67 @@
     Ok(rights.flatten().collect())
 }
 
-pub(crate) fn frame(content: &impl Serialize) -> io::Result<Vec<u8>> {
+/// Encodes a frame: the length of the content in 32 bits, then the content.
+pub(crate) fn encode_frame(content: &impl Serialize) -> io::Result<Vec<u8>> {
     let content = postcard::to_stdvec(content).map_err(io::Error::other)?;
     let length = u32::try_from(content.len()).map_err(io::Error::other)?;
     Ok([&length.to_le_bytes(), &content[..]].concat())
 }
 
-pub(crate) fn length_of(head: [u8; 4]) -> io::Result<usize> {
+/// Decodes the length of a frame from its header.
+pub(crate) fn frame_length(head: [u8; 4]) -> io::Result<usize> {
     let length = u32::from_le_bytes(head) as usize;
-    if length > LONGEST {
-        return Err(io::Error::other("a frame is too long"));
+    if length > MAX_FRAME_BYTES {
+        return Err(io::Error::other("takeover frame is too long"));
     }
     Ok(length)
 }
 
 fn write_frame(stream: &mut impl Write, content: &impl Serialize) -> io::Result<()> {
-    stream.write_all(&frame(content)?)
+    stream.write_all(&encode_frame(content)?)
 }
 
 fn read_frame<T: DeserializeOwned>(stream: &mut impl Read) -> io::Result<T> {
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
-    let mut content = vec![0; length_of(head)?];
+    let mut content = vec![0; frame_length(head)?];
     stream.read_exact(&mut content)?;
     postcard::from_bytes(&content).map_err(io::Error::other)
 }
 
-/// Waits for successors, where the processes meet, and passes those to the node whose state would fit.
+/// Listens for successors and passes those whose state format matches on to the node.
 pub(crate) fn listen_for_successors(
-    meeting: &Path, format: String, inputs: Inputs,
+    socket_path: &Path, format: String, events: Inputs,
 ) -> io::Result<JoinHandle<()>> {
-    match fs::remove_file(meeting) {
+    match fs::remove_file(socket_path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
-    let (path, _folder) = short(meeting)?;
+    let (path, _directory) = short_socket_path(socket_path)?;
     let listener = tokio::net::UnixListener::bind(path)?;
     Ok(tokio::spawn(async move {
         loop {
             let Ok((mut stream, _)) = listener.accept().await else {
-                sleep(ASK_PAUSE).await;
+                sleep(RETRY_PAUSE).await;
                 continue;
             };
-            let hello = async {
-                let length = length_of(stream.read_u32_le().await?.to_le_bytes())?;
+            let greeting = async {
+                let length = frame_length(stream.read_u32_le().await?.to_le_bytes())?;
                 let mut content = vec![0; length.min(usize::from(u16::MAX))];
                 stream.read_exact(&mut content).await?;
                 postcard::from_bytes::<String>(&content).map_err(io::Error::other)
             };
-            match timeout(EXCHANGE_WAIT, hello).await {
-                Ok(Ok(theirs)) if theirs == format => match stream.into_std() {
-                    Ok(stream) => inputs.send(Input::Successor(stream)),
+            match timeout(EXCHANGE_TIMEOUT, greeting).await {
+                Ok(Ok(successor_format)) if successor_format == format => match stream.into_std() {
+                    Ok(stream) => events.send(Input::Successor(stream)),
                     Err(error) => eprintln!("upgrade: {error}"),
                 },
-                Ok(Ok(theirs)) => {
-                    eprintln!("upgrade: the state does not fit: {theirs} for {format}; ending");
-                    inputs.send(Input::Terminate);
+                Ok(Ok(successor_format)) => {
+                    eprintln!("upgrade: state format of the successor differs: {successor_format}, expected {format}; terminating");
+                    events.send(Input::Terminate);
                 }
                 Ok(Err(error)) => eprintln!("upgrade: {error}"),
-                Err(_) => eprintln!("upgrade: a successor says nothing"),
+                Err(_) => eprintln!("upgrade: timed out waiting for the state format of a successor"),
             }
         }
     }))
--- a/src/bin/foldtrack/node/takeover.rs
+++ b/src/bin/foldtrack/node/takeover.rs
@@ -1,4 +1,4 @@
-//! The node's part of an upgrade: what it passes on as the owner, and how it goes on where another one stopped.
+//! The part of the node in a hot restart: the state that the owner hands over, and how a successor continues from it.
 
 use super::{Held, Node, Out, Server, Stage, Taken, Waiting, ACCEPT_ON, END_BY};
 use crate::clock::Clock;
@@ -17,71 +17,73 @@
 use tokio::sync::oneshot;
 
 impl Node {
-    /// Goes on where another process stops; with an error that one goes on.
+    /// Continues where another process stops. On an error the other process stays the owner.
     pub(super) fn take_over(
         config: &Config, inputs: &Inputs, offer: TakeoverOffer,
     ) -> io::Result<(Node, StdListener)> {
         let settings = config.settings.settings.clone();
-        let policy = DeliveryPolicy::take_over(&offer.estate.policy, settings).map_err(io::Error::other)?;
-        let clock = Clock::resume(offer.estate.now, offer.estate.unix);
+        let policy = DeliveryPolicy::take_over(&offer.state.policy, settings).map_err(io::Error::other)?;
+        let clock = Clock::resume(offer.state.clock_now, offer.state.unix_now);
         let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
-        let (estate, lock, listener, stream) = offer.accept()?;
+        let (state, lock, listener, stream) = offer.accept()?;
         node.lock = Some(lock);
-        let reserved = node.places.reserve(estate.clients);
-        let (calls, answering) = node.adopt_state(estate, restored);
-        let (inputs, settings) = (inputs.clone(), config.settings.clone());
-        let predecessor = PredecessorLink { inputs, settings, calls, answering, reserved, clock };
+        let reserved_connections = node.places.reserve(state.client_connections);
+        let (calls, responding) = node.adopt_state(state, restored);
+        let (events, settings) = (inputs.clone(), config.settings.clone());
+        let predecessor =
+            PredecessorLink { events, settings, calls, responding, reserved_connections, clock };
         tokio::spawn(async move {
             if let Err(error) = predecessor.run(stream).await {
-                eprintln!("upgrade: the old process cannot be heard: {error}");
+                eprintln!("upgrade: lost the connection to the old process: {error}");
             }
         });
         Ok((node, listener))
     }
 
-    /// Takes in what the old process knows beside the journal; gives the calls that it still has, and the messages
-    /// whose clients it is telling that they are taken on.
+    /// Adopts the state of the old process that the write-ahead log does not contain. Returns the calls that stay
+    /// with the old process, and the messages whose clients it is telling that they are accepted.
     fn adopt_state(
-        &mut self, estate: TakeoverState, mut restored: BTreeMap<u64, RestoredMessage>,
+        &mut self, state: TakeoverState, mut restored: BTreeMap<u64, RestoredMessage>,
     ) -> (Vec<InheritedCall>, BTreeSet<u64>) {
-        self.next_number = self.next_number.max(estate.next_number);
-        self.timers = estate.timers.into_iter().collect();
-        for (name, address, zone, era) in estate.servers {
+        self.next_number = self.next_number.max(state.next_number);
+        self.timers = state.timers.into_iter().collect();
+        for (name, address, zone, era) in state.endpoints {
             self.target_ids.insert(name, self.servers.len() as TargetId);
             self.servers.push(Server { address, zone, era });
         }
-        let mut answering = BTreeSet::new();
-        for MessageState { number, attempts, acknowledged, waiting } in estate.messages {
-            let Some(known) = restored.remove(&number) else {
-                // Lost to the journal by an error that was logged: nothing can be sent of it.
+        let mut responding = BTreeSet::new();
+        for MessageState { number, attempts, acknowledged, waiting } in state.messages {
+            let Some(restored_message) = restored.remove(&number) else {
+                // An error that was logged kept it out of the write-ahead log: it cannot be sent.
                 self.handle(Event::Lapsed { id: number });
                 continue;
             };
-            let message = Arc::new(Message::from_accepted(known.accepted, &self.settings, &self.clock));
+            let message =
+                Arc::new(Message::from_accepted(restored_message.accepted, &self.settings, &self.clock));
             let taken = if acknowledged { Taken::On } else { Taken::Answering };
-            answering.extend((!acknowledged).then_some(number));
+            responding.extend((!acknowledged).then_some(number));
             let waiting =
                 waiting.map(|(attempt, target, until, decided)| Waiting { attempt, target, until, decided });
             self.messages.insert(number, Held { message, taken, attempts, waiting });
         }
-        // What is left has ended, and its notice is to be taken yet.
+        // The other messages have ended, and their notices are not acknowledged yet.
         for (number, message) in restored {
             self.restore(number, message);
         }
-        let left = |(number, attempt, target, begun): (u64, u32, TargetId, bool)| {
+        let inherited = |(number, attempt, target, begun): (u64, u32, TargetId, bool)| {
             let (cancel, cancelled) = oneshot::channel();
             self.calls.insert((number, attempt), Out { target, cancel: Some(cancel), begun });
             (number, attempt, target, cancelled)
         };
-        (estate.calls.into_iter().map(left).collect(), answering)
+        (state.calls.into_iter().map(inherited).collect(), responding)
     }
 
-    /// Hands all to a successor. With an error it is still the owner.
+    /// Offers everything to a successor. On an error this process is still the owner.
     pub(super) fn offer_takeover(&self, successor: &UnixStream) -> io::Result<()> {
         let (None, Some(listener), Some(lock)) = (self.terminated, &self.listener, &self.lock) else {
-            return Err(io::Error::other("this process is about to end"));
+            return Err(io::Error::other("this process is terminating"));
         };
-        let now = self.clock.now();
+        let clock_now = self.clock.now();
         let held = |(number, held): (&u64, &Held)| MessageState {
             number: *number,
             attempts: held.attempts,
@@ -93,9 +95,9 @@
             (*target, (name.clone(), address, zone, era))
         };
         let servers: BTreeMap<_, _> = self.target_ids.iter().map(named).collect();
-        let estate = TakeoverState {
-            now,
-            unix: self.clock.unix_micros_at(now),
+        let state = TakeoverState {
+            clock_now,
+            unix_now: self.clock.unix_micros_at(clock_now),
             policy: self.policy.hand_over().map_err(io::Error::other)?,
             next_number: self.next_number,
             messages: self.messages.iter().map(held).collect(),
@@ -104,21 +106,22 @@
                 .iter()
                 .map(|((number, attempt), out)| (*number, *attempt, out.target, out.begun))
                 .collect(),
-            servers: servers.into_values().collect(),
+            endpoints: servers.into_values().collect(),
             timers: self.timers.iter().copied().collect(),
-            clients: self.places.taken(),
+            client_connections: self.places.taken(),
         };
-        hot_restart::offer_takeover(successor, &estate, listener, lock)
+        hot_restart::offer_takeover(successor, &state, listener, lock)
     }
 
-    /// What is left for this process to do once it has handed over; the lock and the log are the successor's.
+    /// What this process still has to do after the takeover. The lock and the write-ahead log belong to the
+    /// successor.
     pub(super) fn into_draining_process(self) -> DrainingProcess {
         self.stage.send_replace(Stage::Succeeded);
         DrainingProcess {
             calls: self.calls.into_iter().map(|(call, out)| (call, out.cancel)).collect(),
             figures: self.figures,
             pool: self.policy.pool(),
-            inputs: self.inputs,
+            events: self.inputs,
             settings: self.settings,
             clock: self.clock,
             stage: self.stage,
