--- a/src/bin/foldtrack/calls.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to targets: one call and its outcome, and the connections that stand idle between calls.
+//! Calls to endpoints: runs one call to its outcome, and pools the connections that are idle between calls.
 
 use crate::connection::{HttpConnection, RequestBody, SendError, StatusLine};
 use crate::events::{CallEnd, Input, Inputs};
@@ -14,38 +14,39 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// The rest of an answer, whose meaning its first line has told, must come within this span and size for the
-/// connection to be used again.
-const REST_WAIT: Duration = Duration::from_millis(20);
-const REST_BYTES: usize = 64 * 1024;
+/// The status line and headers of a response decide its outcome. If the body does not arrive within this time and
+/// size, the connection is closed instead of being used again.
+const BODY_TIMEOUT: Duration = Duration::from_millis(20);
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The connections that stand idle, by target, the one used last at the end.
+/// Idle connections by target; in each list the most recently used comes last.
 #[derive(Debug)]
 pub(crate) struct IdleConnectionPool {
     by_target: BTreeMap<TargetId, Vec<(Instant, HttpConnection)>>,
-    longest: Duration,
-    most: usize,
+    max_idle: Duration,
+    max_connections: usize,
 }
 
 impl IdleConnectionPool {
-    /// Targets close a connection that has been idle for `conn_idle`. A call that meets such a close may have
-    /// run, which ends an unsafe message: connections are not used for the last second of it.
-    pub fn new(conn_idle: Duration, most: usize) -> Self {
-        let margin = Duration::from_secs(1).min(conn_idle / 4);
-        IdleConnectionPool { by_target: BTreeMap::new(), longest: conn_idle - margin, most }
+    /// Endpoints close a connection that has been idle for `idle_timeout`. A call on a connection that is being
+    /// closed may have run, which ends a message that is unsafe to repeat. So connections are not used any more in
+    /// the last second of that time.
+    pub fn new(idle_timeout: Duration, max_connections: usize) -> Self {
+        let margin = Duration::from_secs(1).min(idle_timeout / 4);
+        IdleConnectionPool { by_target: BTreeMap::new(), max_idle: idle_timeout - margin, max_connections }
     }
 
     pub fn take(&mut self, target: TargetId) -> Option<(Duration, HttpConnection)> {
         self.evict_expired();
         let idle = self.by_target.get_mut(&target)?;
-        let last = idle.iter().rposition(|(_, c)| c.is_usable())?;
-        let (since, connection) = idle.remove(last);
-        Some((since.elapsed(), connection))
+        let newest = idle.iter().rposition(|(_, c)| c.is_usable())?;
+        let (idle_since, connection) = idle.remove(newest);
+        Some((idle_since.elapsed(), connection))
     }
 
     pub fn put(&mut self, target: TargetId, connection: HttpConnection) {
         self.by_target.entry(target).or_default().push((Instant::now(), connection));
-        if self.count() > self.most {
+        if self.count() > self.max_connections {
             let oldest = self.by_target.values_mut().filter(|v| !v.is_empty()).min_by_key(|v| v[0].0);
             oldest.map(|v| v.remove(0));
         }
@@ -59,17 +60,17 @@
         self.by_target.remove(&target);
     }
 
-    /// Drops those that have shown their end or have been idle for too long.
+    /// Drops connections that are closed or have been idle for too long.
     pub fn evict_expired(&mut self) {
         let now = Instant::now();
         for idle in self.by_target.values_mut() {
-            idle.retain(|(since, c)| !c.is_closed() && now < *since + self.longest);
+            idle.retain(|(idle_since, c)| !c.is_closed() && now < *idle_since + self.max_idle);
         }
         self.by_target.retain(|_, idle| !idle.is_empty());
     }
 }
 
-/// A call to be made.
+/// The parameters of one call.
 pub(crate) struct Call {
     pub number: u64,
     pub attempt: u32,
@@ -78,85 +79,89 @@
     pub message: Arc<Message>,
     pub dial_timeout: Duration,
     pub timeout_at: Instant,
-    /// One that stood idle, and for how long.
+    /// A pooled connection and how long it has been idle. Without one, a new connection is opened.
     pub connection: Option<(Duration, HttpConnection)>,
-    /// Answers told as limit reports.
+    /// Whether the responses of this deployment carry limit reports.
     pub reads_limit_reports: bool,
-    /// How often operators had taken the target out or put it back when the call began.
+    /// Connection generation of the endpoint when the call started; it grows when an operator disables or enables the
+    /// endpoint.
     pub generation: u32,
 }
 
-/// Makes one call and tells its end: exactly once, and never tries again by itself.
-pub(crate) async fn make_call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
+/// Makes one call and reports its end exactly once. It never retries.
+pub(crate) async fn make_call(call: Call, mut cancelled: oneshot::Receiver<()>, events: Inputs) {
     let end = CallEnd::new(call.number, call.attempt, call.target, Outcome::ConnectFailed, false);
     let mut end = CallEnd { era: call.generation, ..end };
     let Call { message, connection: idle, timeout_at, dial_timeout, address, reads_limit_reports, .. } = call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
-    let (reused, written) = (idle.is_some(), inputs.clone());
-    // From when the request is with the connection only an answer proves that it has not run.
-    let mut handed_over = None;
-    let mut unused = None;
+    let (reused, written) = (idle.is_some(), events.clone());
+    // Once the request has been handed to the connection, only a response proves that it did not run.
+    let mut status_line = None;
+    let mut unused_connection = None;
     let exchange = async {
         let mut connection = match idle {
             Some((_, connection)) => connection,
             None => {
-                let tell = move |class| written.send(Input::Written { class });
-                let Ok(Ok(connection)) = timeout(dial_timeout, HttpConnection::open(address, tell)).await
+                let on_written = move |class| written.send(Input::Written { class });
+                let Ok(Ok(connection)) =
+                    timeout(dial_timeout, HttpConnection::open(address, on_written)).await
                 else {
                     return Err(Outcome::ConnectFailed);
                 };
-                // A lost packet makes this late by a second: what was told meanwhile holds for this call too.
-                let (go, may_go) = oneshot::channel();
+                // A lost packet delays connecting by a second. A drain or wait that arrived meanwhile applies to this
+                // call too, so the node is asked once more.
+                let (go, proceed) = oneshot::channel();
                 let (number, attempt, target) = (call.number, call.attempt, call.target);
-                inputs.send(Input::Connected { number, attempt, target, go });
-                if !may_go.await.unwrap_or(false) {
-                    unused = Some(connection);
+                events.send(Input::Connected { number, attempt, target, go });
+                if !proceed.await.unwrap_or(false) {
+                    unused_connection = Some(connection);
                     return Err(Outcome::NotSent);
                 }
                 connection
             }
         };
-        let payload = connection.request_body(&message);
-        let request = request(&message, payload, address, timeout_at).ok_or(Outcome::NotSent)?;
-        handed_over = Some(connection.first_line.clone());
+        let body = connection.request_body(&message);
+        let request = build_request(&message, body, address, timeout_at).ok_or(Outcome::NotSent)?;
+        status_line = Some(connection.status_line.clone());
         match connection.send(request).await {
             Ok(response) => Ok((connection, response)),
-            // A connection that was closed while it stood idle tells nothing of the target's health.
+            // A pooled connection that the endpoint has closed says nothing about its health.
             Err(SendError::NotWritten) if reused => Err(Outcome::NotSent),
             Err(SendError::NotWritten) => Err(Outcome::ConnectFailed),
             Err(SendError::ConnectionLost) => Err(Outcome::Reset),
         }
     };
-    let answer = tokio::select! {
+    let result = tokio::select! {
         biased;
-        answer = exchange => answer.map_err(Some),
+        result = exchange => result.map_err(Some),
         () = sleep_until(timeout_at) => Err(None),
         Ok(()) = &mut cancelled => Err(Some(Outcome::Cancelled)),
     };
-    match answer {
+    match result {
         Ok((mut connection, response)) => {
-            read_head(&mut end, &response, reads_limit_reports);
-            if !reused && is_crowded(&end, &response) {
+            read_response_head(&mut end, &response, reads_limit_reports);
+            if !reused && rejects_connection(&end, &response) {
                 end.outcome = Outcome::TooManyConnections;
             }
-            let rest = timeout(REST_WAIT, connection.read_body(response.into_body(), REST_BYTES)).await;
-            end.connection = matches!(rest, Ok(Some(_))).then_some(connection);
+            let body =
+                timeout(BODY_TIMEOUT, connection.read_body(response.into_body(), MAX_BODY_BYTES)).await;
+            end.connection = matches!(body, Ok(Some(_))).then_some(connection);
             end.cut_short = end.connection.is_none() && end.outcome != Outcome::TooManyConnections;
         }
-        // The rest of the answer cannot be read, or does not come.
-        Err(_) if handed_over.as_ref().is_some_and(StatusLine::is_ok) => {
+        // The status line says 200, but the response cannot be read or is incomplete: the message is delivered.
+        Err(_) if status_line.as_ref().is_some_and(StatusLine::is_ok) => {
             (end.outcome, end.over, end.cut_short) = (Outcome::Ok, true, true);
         }
-        Err(Some(Outcome::Cancelled)) if handed_over.is_none() => end.outcome = Outcome::NotSent,
-        Err(None) if handed_over.is_none() => end.outcome = Outcome::ConnectFailed,
+        Err(Some(Outcome::Cancelled)) if status_line.is_none() => end.outcome = Outcome::NotSent,
+        Err(None) if status_line.is_none() => end.outcome = Outcome::ConnectFailed,
         Err(None) => end.outcome = Outcome::TimedOut,
-        Err(Some(outcome)) => (end.outcome, end.connection) = (outcome, unused),
+        Err(Some(outcome)) => (end.outcome, end.connection) = (outcome, unused_connection),
     }
-    inputs.send(Input::CallEnded(end));
+    events.send(Input::CallEnded(end));
 }
 
-fn request(
-    message: &Message, payload: RequestBody, address: SocketAddr, timeout_at: Instant,
+fn build_request(
+    message: &Message, body: RequestBody, address: SocketAddr, timeout_at: Instant,
 ) -> Option<Request<RequestBody>> {
     let left = timeout_at.saturating_duration_since(Instant::now()).as_micros();
     let mut request = Request::builder()
@@ -169,19 +174,20 @@
     if let Some(key) = &message.idempotency_key {
         request = request.header("Idempotency-Key", key);
     }
-    request.body(payload).ok()
+    request.body(body).ok()
 }
 
-/// Whether the first answer on a new connection turns that away, and not the call: an endpoint with all the connections
-/// that it takes refuses and closes at once. One above its limit keeps the connection, or tells a wait.
-fn is_crowded(end: &CallEnd, response: &Response<Incoming>) -> bool {
+/// Whether the endpoint rejected the new connection rather than the call: at its connection limit an endpoint rejects
+/// the first request and closes at once. An endpoint above its rate limit keeps the connection open or requests a
+/// wait.
+fn rejects_connection(end: &CallEnd, response: &Response<Incoming>) -> bool {
     let closes =
-        text(response.headers(), CONNECTION.as_str()).is_some_and(|v| v.eq_ignore_ascii_case("close"));
+        header_text(response.headers(), CONNECTION.as_str()).is_some_and(|v| v.eq_ignore_ascii_case("close"));
     closes && end.outcome == Outcome::Full && end.wait_until.is_none()
 }
 
-/// What an answer means, by the table of the protocol. What is not in it may have run.
-fn read_head(end: &mut CallEnd, response: &Response<Incoming>, reads_limit_reports: bool) {
+/// Determines the outcome from the response, by the table of the protocol. A call with any other status may have run.
+fn read_response_head(end: &mut CallEnd, response: &Response<Incoming>, reads_limit_reports: bool) {
     let headers = response.headers();
     end.outcome = match response.status() {
         StatusCode::OK => Outcome::Ok,
@@ -193,18 +199,18 @@
     };
     end.over = matches!(response.status(), StatusCode::OK | StatusCode::GONE);
     if end.outcome == Outcome::Full {
-        let wait = text(headers, "X-Come-Back-Ms").and_then(|ms| ms.trim().parse::<f64>().ok());
+        let wait = header_text(headers, "X-Come-Back-Ms").and_then(|ms| ms.trim().parse::<f64>().ok());
         let wait = wait.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
         end.wait_until = wait.and_then(|w| Instant::now().checked_add(w));
     }
-    end.report = text(headers, "X-Load").filter(|_| reads_limit_reports).and_then(limit_report);
+    end.report = header_text(headers, "X-Load").filter(|_| reads_limit_reports).and_then(parse_limit_report);
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn limit_report(text: &str) -> Option<LimitReport> {
+fn parse_limit_report(text: &str) -> Option<LimitReport> {
     let value = |name: &str| {
         let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
         let mut named = pairs.filter(|(n, _)| n.trim() == name);
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -1,5 +1,5 @@
-//! HTTP connections to endpoints and to discovery: one call at a time, with the moment at which a message has been written
-//! whole and the first line of its answer.
+//! HTTP client connections to endpoints and to discovery, one request at a time. They report when a message has been
+//! written completely, and keep the status line of its response.
 
 use crate::message::Message;
 use crate::streams::{Tap, Tapped};
@@ -19,43 +19,45 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Bytes of an answer's head that are kept before it is given up.
-const HEAD_BYTES: usize = 16 * 1024;
+/// Longest head of a response.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Bytes of an answer's first line that are kept: its status stands at the start.
-const LINE_BYTES: usize = 512;
+/// Bytes kept of a status line; the status is at its start.
+const MAX_STATUS_LINE_BYTES: usize = 512;
 
-/// No message is being written.
-const NOTHING: usize = usize::MAX;
+/// Value of `PendingClass` while no message is being written.
+const NOT_WRITING: usize = usize::MAX;
 
-/// Tells when a message has been written whole. The HTTP library flushes the stream once it has written what it
-/// holds: the first flush after it has taken the body is that moment. Holds the message's class until then.
-type Written = Arc<AtomicUsize>;
+/// Class of the message that is being written, for its completion to be reported. The HTTP library flushes the stream
+/// once it has written its buffer: the first flush after it has taken the body marks the message as written
+/// completely.
+type PendingClass = Arc<AtomicUsize>;
 
-/// What a request carries: one piece of bytes that marks, when it is taken, that the next flush counts.
+/// A request body in one piece. When the HTTP library takes it, it sets the pending class, so that the next flush is
+/// reported.
 pub(crate) struct RequestBody {
     bytes: Option<Bytes>,
-    mark: Option<(usize, Written)>,
+    report: Option<(usize, PendingClass)>,
 }
 
 impl RequestBody {
-    /// The body of a request whose writing counts for nothing.
-    pub fn uncounted(bytes: Bytes) -> RequestBody {
-        RequestBody { bytes: Some(bytes).filter(|b| !b.is_empty()), mark: None }
+    /// A body whose writing is not reported.
+    pub fn unreported(bytes: Bytes) -> RequestBody {
+        RequestBody { bytes: Some(bytes).filter(|b| !b.is_empty()), report: None }
     }
 
-    fn counted(bytes: Bytes, class: usize, written: Written) -> RequestBody {
-        let mut payload = RequestBody { mark: Some((class, written)), ..RequestBody::uncounted(bytes) };
-        if payload.bytes.is_none() {
-            // It is not asked for: the request is whole with its head.
-            payload.taken();
+    fn reported(bytes: Bytes, class: usize, pending_class: PendingClass) -> RequestBody {
+        let mut body = RequestBody { report: Some((class, pending_class)), ..RequestBody::unreported(bytes) };
+        if body.bytes.is_none() {
+            // The HTTP library does not poll an empty body: the request is complete with its head.
+            body.mark_taken();
         }
-        payload
+        body
     }
 
-    fn taken(&mut self) {
-        if let Some((class, written)) = self.mark.take() {
-            written.store(class, Ordering::Relaxed);
+    fn mark_taken(&mut self) {
+        if let Some((class, pending_class)) = self.report.take() {
+            pending_class.store(class, Ordering::Relaxed);
         }
     }
 }
@@ -67,7 +69,7 @@
     fn poll_frame(
         mut self: Pin<&mut Self>, _: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.taken();
+        self.mark_taken();
         Poll::Ready(self.bytes.take().map(|bytes| Ok(Frame::data(bytes))))
     }
 
@@ -80,61 +82,62 @@
     }
 }
 
-/// The first line of an answer, as far as it has come. The HTTP library drops it with an answer that it cannot read, or
-/// that ends too soon; where it says 200 the message is delivered all the same.
+/// The status line of a response, as far as it has arrived. The HTTP library discards it together with a response
+/// that is invalid or truncated, though a status of 200 means that the message is delivered.
 #[derive(Clone, Default)]
 pub(crate) struct StatusLine(Arc<Mutex<Vec<u8>>>);
 
 impl StatusLine {
     fn bytes(&self) -> MutexGuard<'_, Vec<u8>> {
-        // Each change is one call on it: a panic elsewhere leaves it whole.
+        // Each change is a single call on the line: a panic elsewhere leaves it consistent.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn add(&self, bytes: &[u8]) {
+    fn append(&self, bytes: &[u8]) {
         let mut line = self.bytes();
         if line.ends_with(b"\n") {
             return;
         }
         let end = bytes.iter().position(|b| *b == b'\n').map_or(bytes.len(), |at| at + 1);
-        let room = LINE_BYTES.saturating_sub(line.len());
-        line.extend_from_slice(&bytes[..end.min(room)]);
+        let free = MAX_STATUS_LINE_BYTES.saturating_sub(line.len());
+        line.extend_from_slice(&bytes[..end.min(free)]);
     }
 
+    /// Whether the status is 200.
     pub fn is_ok(&self) -> bool {
         let line = self.bytes();
-        let mut words = line.split(|b| b.is_ascii_whitespace());
-        let version = words.next().is_some_and(|word| word.starts_with(b"HTTP/"));
-        version && line.ends_with(b"\n") && words.next() == Some(b"200")
+        let mut parts = line.split(|b| b.is_ascii_whitespace());
+        let version = parts.next().is_some_and(|part| part.starts_with(b"HTTP/"));
+        version && line.ends_with(b"\n") && parts.next() == Some(b"200")
     }
 }
 
-/// Tells of each message that has been written whole, and keeps the first line of its answer.
-struct CallTap<F> {
-    written: Written,
-    first_line: StatusLine,
-    tell: F,
+/// Reports each message that has been written completely, and keeps the status line of its response.
+struct CallObserver<F> {
+    pending_class: PendingClass,
+    status_line: StatusLine,
+    on_written: F,
 }
 
-impl<S, F: Fn(usize)> Tap<S> for CallTap<F> {
+impl<S, F: Fn(usize)> Tap<S> for CallObserver<F> {
     fn read(&mut self, bytes: &[u8]) {
-        self.first_line.add(bytes);
+        self.status_line.append(bytes);
     }
 
     fn flushed(&mut self, _: &S, _: &mut Context) {
-        let class = self.written.swap(NOTHING, Ordering::Relaxed);
-        if class != NOTHING {
-            (self.tell)(class);
+        let class = self.pending_class.swap(NOT_WRITING, Ordering::Relaxed);
+        if class != NOT_WRITING {
+            (self.on_written)(class);
         }
     }
 }
 
-/// An HTTP connection. It closes when this is dropped, also in the middle of a call.
+/// An HTTP connection. Dropping it closes it, even during a call.
 pub(crate) struct HttpConnection {
     sender: SendRequest<RequestBody>,
     driver: JoinHandle<()>,
-    written: Written,
-    pub first_line: StatusLine,
+    pending_class: PendingClass,
+    pub status_line: StatusLine,
 }
 
 impl fmt::Debug for HttpConnection {
@@ -149,45 +152,53 @@
     }
 }
 
-/// Why there is no answer.
+/// Why a request got no response.
 pub(crate) enum SendError {
-    /// It was handed back before a byte of it was written.
+    /// The connection returned the request before any byte of it was written.
     NotWritten,
+    /// The connection was closed or the response is invalid; the request may have run.
     ConnectionLost,
 }
 
 impl HttpConnection {
-    /// `tell` is called with the class of each message of [`HttpConnection::payload`] that has been written whole.
+    /// Connects to `address`. `on_written` is called with the class of each message of
+    /// [`HttpConnection::request_body`] that has been written completely.
     pub async fn open(
-        address: SocketAddr, tell: impl Fn(usize) + Send + Unpin + 'static,
+        address: SocketAddr, on_written: impl Fn(usize) + Send + Unpin + 'static,
     ) -> io::Result<HttpConnection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let written = Written::new(AtomicUsize::new(NOTHING));
-        let first_line = StatusLine::default();
-        let tap = CallTap { written: written.clone(), first_line: first_line.clone(), tell };
+        let pending_class = PendingClass::new(AtomicUsize::new(NOT_WRITING));
+        let status_line = StatusLine::default();
+        let tap = CallObserver {
+            pending_class: pending_class.clone(),
+            status_line: status_line.clone(),
+            on_written,
+        };
         let tapped = Tapped { stream, tap };
-        let handshake = http1::Builder::new().max_buf_size(HEAD_BYTES).handshake(TokioIo::new(tapped)).await;
+        let handshake =
+            http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(tapped)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
-        // Errors reach the call that is out; between calls they only end the connection.
+        // The call in flight gets the error; between calls an error only closes the connection.
         let driver = tokio::spawn(async move { drop(connection.await) });
-        Ok(HttpConnection { sender, driver, written, first_line })
+        Ok(HttpConnection { sender, driver, pending_class, status_line })
     }
 
+    /// The body of a message. Its writing is reported on this connection.
     pub fn request_body(&self, message: &Message) -> RequestBody {
-        RequestBody::counted(message.body.clone(), message.class, self.written.clone())
+        RequestBody::reported(message.body.clone(), message.class, self.pending_class.clone())
     }
 
-    /// Hands a request to the connection and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
-        self.first_line.bytes().clear();
+        self.status_line.bytes().clear();
         self.sender.try_send_request(request).await.map_err(|mut error| match error.take_message() {
             Some(_) => SendError::NotWritten,
             None => SendError::ConnectionLost,
         })
     }
 
-    /// Reads an answer to its end and waits until the next request may go.
+    /// Reads a response body to its end and waits until the connection is ready for the next request.
     pub async fn read_body(&mut self, body: Incoming, limit: usize) -> Option<Bytes> {
         let body = Limited::new(body, limit).collect().await.ok()?.to_bytes();
         self.sender.ready().await.ok()?;
--- a/src/bin/foldtrack/discovery_client.rs
+++ b/src/bin/foldtrack/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The discovery client of the forwarder: over one HTTP connection, kept between exchanges unless one fails, with news
-//! to the node.
+//! Runs the discovery client over HTTP and passes the lists on to the node. The connection is kept between exchanges
+//! unless one fails.
 
 use crate::connection::{HttpConnection, RequestBody};
 use crate::events::{Input, Inputs};
@@ -13,24 +13,24 @@
 use hyper::{Request, Response};
 use std::net::SocketAddr;
 
-/// Bytes of the longest list that is read.
-const LONGEST_LIST: usize = 4 << 20;
+/// Longest body of a reply.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// A client that tells the node of each list. The caller runs it.
+/// Creates a client that reports each list to the node. The caller runs it.
 pub(crate) fn build_client(
-    settings: &Settings, inputs: Inputs,
+    settings: &Settings, events: Inputs,
 ) -> Client<HttpTransport, impl FnMut(DiscoveryEvent) + Send> {
     let on_event = move |event| match event {
-        DiscoveryEvent::List(list) => inputs.send(Input::List(list)),
+        DiscoveryEvent::List(list) => events.send(Input::List(list)),
         DiscoveryEvent::InvalidReply { status, error } => {
-            let reason = error.map_or_else(|| "no list".to_string(), |error| error.to_string());
-            eprintln!("discovery: status {status}, {reason}");
+            let reason = error.map_or_else(|| "unexpected status".to_string(), |error| error.to_string());
+            eprintln!("discovery: invalid reply with status {status}: {reason}");
         }
     };
     Client::new(HttpTransport::default(), on_event, ClientOptions::from(settings), fastrand::Rng::new())
 }
 
-/// Exchanges with discovery over HTTP.
+/// Transport over one HTTP connection.
 #[derive(Debug, Default)]
 pub(crate) struct HttpTransport {
     connection: Option<HttpConnection>,
@@ -48,11 +48,11 @@
         let response = connection.send(request).await.map_err(|_| TransportError::Interrupted)?;
         let status = response.status();
         if closes_connection(&response) {
-            let body = Limited::new(response.into_body(), LONGEST_LIST).collect().await;
+            let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
             let body = body.map_err(|_| TransportError::Interrupted)?.to_bytes();
             return Ok(Reply { status, body });
         }
-        let body = connection.read_body(response.into_body(), LONGEST_LIST).await;
+        let body = connection.read_body(response.into_body(), MAX_LIST_BYTES).await;
         let body = body.ok_or(TransportError::Interrupted)?;
         self.connection = Some(connection);
         Ok(Reply { status, body })
@@ -66,11 +66,11 @@
 fn http_request(address: SocketAddr, request: &ListRequest) -> Result<Request<RequestBody>, TransportError> {
     Request::get(request.path())
         .header(HOST, address.to_string())
-        .body(RequestBody::uncounted(Bytes::new()))
+        .body(RequestBody::unreported(Bytes::new()))
         .map_err(|_| TransportError::InvalidRequest)
 }
 
-/// Whether the reply is the last on its connection.
+/// Whether discovery closes the connection after this reply.
 fn closes_connection(response: &Response<Incoming>) -> bool {
     let connection = response.headers().get(CONNECTION);
     connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
