--- a/src/bin/foldtrack/report_client.rs
+++ b/src/bin/foldtrack/report_client.rs
@@ -1,4 +1,4 @@
-//! The client that reports undelivered messages to the platform, until each report is acknowledged.
+//! Reports undelivered messages to discovery, until each notice is acknowledged.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -17,20 +17,20 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Notices without an answer for so long go again on a new connection, with twice as long to wait, until it is the
-/// longest. The agent answers at once, and notices count until 300 ms after their messages' time: where a connection is
-/// lost, the next has to be made within that.
-const FIRST_REPORT_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_REPORT_WAIT: Duration = Duration::from_millis(800);
-/// Reports under way at once.
-const MOST_REPORTS: usize = 8;
-/// The pause of a report after a failure.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
-/// What the agent says to a notice is its status.
-const LONGEST_ANSWER: usize = 64 * 1024;
+/// A report without a response within this time is sent again on a new connection; the timeout doubles each time, up
+/// to the maximum. The agent of discovery responds at once, and a notice counts until 300 ms after the deadline of
+/// its message: if a connection is lost, the next one has to be made within that time.
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_REPORT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Reports in flight at once.
+const MAX_REPORTS_IN_FLIGHT: usize = 8;
+/// Delay before a report that failed is sent again.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest response body that is read; the status alone is the acknowledgement.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// A connection for notices. What moves it runs within the call on it: a task of its own would have to wait for its turn
-/// behind all that is ready, twice for each notice.
+/// A connection for reports. Its driver is polled within the call on it: a task of its own would have to wait for its
+/// turn behind all tasks that are ready, twice for each report.
 struct ReportConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
@@ -41,25 +41,25 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-        // Errors reach the call that is out.
+        // The call in flight gets the error.
         let driver = async move { drop(connection.await) };
         Ok(ReportConnection { sender, driver: Some(Box::pin(driver)) })
     }
 
-    /// The status of the answer to one request, and whether another may follow.
+    /// Sends one request. Returns the status of the response, and whether the connection can be used again.
     async fn call(&mut self, request: Request<Full<Bytes>>) -> Option<(StatusCode, bool)> {
         let ReportConnection { sender, driver } = self;
         let call = async {
             let (head, body) = sender.send_request(request).await.ok()?.into_parts();
-            let whole = Limited::new(body, LONGEST_ANSWER).collect().await.is_ok();
-            Some((head.status, whole && sender.ready().await.is_ok()))
+            let complete = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
+            Some((head.status, complete && sender.ready().await.is_ok()))
         };
         let mut call = pin!(call);
         poll_fn(|cx| {
-            // Written at once, and an answer that has come is read at once.
-            let answer = call.as_mut().poll(cx);
-            if answer.is_ready() {
-                return answer;
+            // Writes the request at once, and reads a response that has arrived.
+            let response = call.as_mut().poll(cx);
+            if response.is_ready() {
+                return response;
             }
             if driver.as_mut().is_some_and(|driver| driver.as_mut().poll(cx).is_ready()) {
                 *driver = None;
@@ -70,46 +70,49 @@
     }
 }
 
-/// A connection that stands idle: a new one for each notice would cost more than they do.
-type KeptConnection = Arc<Mutex<Option<(SocketAddr, ReportConnection)>>>;
+/// The idle connection that is kept, with its address: a new one for each report would cost more than the reports
+/// themselves.
+type IdleConnection = Arc<Mutex<Option<(SocketAddr, ReportConnection)>>>;
 
-fn kept(slot: &KeptConnection) -> MutexGuard<'_, Option<(SocketAddr, ReportConnection)>> {
-    // Each change is an assignment: a panic elsewhere leaves it whole.
+fn idle_connection(slot: &IdleConnection) -> MutexGuard<'_, Option<(SocketAddr, ReportConnection)>> {
+    // Each change is an assignment: a panic elsewhere leaves it consistent.
     slot.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Notices under way. They run within the node's own turn: each is written in the turn in which it is decided.
+/// Reports in flight. They are polled in the turn of the node itself, so that each is written in the turn in which it
+/// is decided.
 pub(crate) struct ReportClient {
-    out: Vec<Pin<Box<dyn Future<Output = Vec<u64>> + Send>>>,
-    kept: KeptConnection,
+    in_flight: Vec<Pin<Box<dyn Future<Output = Vec<u64>> + Send>>>,
+    idle_connection: IdleConnection,
     discovery: watch::Receiver<SocketAddr>,
 }
 
 impl ReportClient {
-    /// To discovery, wherever it is.
+    /// Sends reports to the current address of discovery.
     pub fn new(discovery: watch::Receiver<SocketAddr>) -> ReportClient {
-        ReportClient { out: Vec::new(), kept: KeptConnection::default(), discovery }
+        ReportClient { in_flight: Vec::new(), idle_connection: IdleConnection::default(), discovery }
     }
 
     pub fn has_capacity(&self) -> bool {
-        self.out.len() < MOST_REPORTS
+        self.in_flight.len() < MAX_REPORTS_IN_FLIGHT
     }
 
-    /// Sends notices, one JSON object a line, until they are taken.
+    /// Sends notices, one JSON object per line, until they are acknowledged.
     pub fn send(&mut self, lines: String, numbers: Vec<u64>) {
-        let (slot, discovery) = (self.kept.clone(), self.discovery.clone());
-        self.out.push(Box::pin(async move {
-            report(Bytes::from(lines), numbers.len(), slot, discovery).await;
+        let (slot, discovery) = (self.idle_connection.clone(), self.discovery.clone());
+        self.in_flight.push(Box::pin(async move {
+            send_report(Bytes::from(lines), numbers.len(), slot, discovery).await;
             numbers
         }));
     }
 
-    /// The next that are taken. All go on while this is awaited.
+    /// Waits for the next report to be acknowledged and returns the numbers of its messages. All reports make
+    /// progress while this is polled.
     pub async fn acknowledged(&mut self) -> Vec<u64> {
         poll_fn(|cx| {
-            for at in 0..self.out.len() {
-                if let Poll::Ready(numbers) = self.out[at].as_mut().poll(cx) {
-                    drop(self.out.swap_remove(at));
+            for at in 0..self.in_flight.len() {
+                if let Poll::Ready(numbers) = self.in_flight[at].as_mut().poll(cx) {
+                    drop(self.in_flight.swap_remove(at));
                     return Poll::Ready(numbers);
                 }
             }
@@ -119,54 +122,54 @@
     }
 }
 
-/// Posts notices on the kept connection or a new one; the status of the answer, if one came.
-async fn post(address: SocketAddr, lines: Bytes, slot: &KeptConnection) -> Option<StatusCode> {
+/// Posts a report on the kept connection or on a new one. Returns the status of the response, if one arrived.
+async fn post(address: SocketAddr, lines: Bytes, slot: &IdleConnection) -> Option<StatusCode> {
     loop {
-        // One to another address is closed.
-        let kept_line = kept(slot).take().filter(|(to, _)| *to == address);
-        let reused = kept_line.is_some();
-        let mut line = match kept_line {
-            Some((_, line)) => line,
+        // A connection to another address is closed.
+        let idle = idle_connection(slot).take().filter(|(to, _)| *to == address);
+        let reused = idle.is_some();
+        let mut connection = match idle {
+            Some((_, connection)) => connection,
             None => ReportConnection::open(address).await.ok()?,
         };
         let request = Request::post("/reports").header(HOST, address.to_string());
         let request = request.header(CONTENT_TYPE, "application/json").body(Full::new(lines.clone())).ok()?;
-        match line.call(request).await {
+        match connection.call(request).await {
             Some((status, usable)) => {
-                *kept(slot) = usable.then_some((address, line));
+                *idle_connection(slot) = usable.then_some((address, connection));
                 return Some(status);
             }
-            // It was closed while it stood idle.
+            // The connection was closed while it was idle.
             None if reused => continue,
             None => return None,
         }
     }
 }
 
-async fn report(
-    lines: Bytes, count: usize, slot: KeptConnection, mut discovery: watch::Receiver<SocketAddr>,
+async fn send_report(
+    lines: Bytes, count: usize, slot: IdleConnection, mut discovery: watch::Receiver<SocketAddr>,
 ) {
-    let mut wait = FIRST_REPORT_WAIT;
+    let mut report_timeout = FIRST_REPORT_TIMEOUT;
     loop {
         let address = *discovery.borrow_and_update();
         let attempt = async {
-            match timeout(wait, post(address, lines.clone(), &slot)).await {
+            match timeout(report_timeout, post(address, lines.clone(), &slot)).await {
                 Ok(Some(StatusCode::NO_CONTENT)) => return true,
                 Ok(status) => {
-                    eprintln!("{count} notices were not taken by {address}: {status:?}");
-                    sleep(REPORT_PAUSE).await;
+                    eprintln!("report of {count} notices to {address} failed, status {status:?}");
+                    sleep(REPORT_RETRY_DELAY).await;
                 }
-                Err(_) => eprintln!("{count} notices go again: no answer from {address}"),
+                Err(_) => eprintln!("report of {count} notices to {address} timed out; sending it again"),
             }
             false
         };
         tokio::select! {
             biased;
-            taken = attempt => if taken { return },
-            // What the old address has not taken goes to the new one at once.
+            acknowledged = attempt => if acknowledged { return },
+            // A report that the old address has not acknowledged goes to the new one at once.
             Ok(()) = discovery.changed() => continue,
         }
-        wait = (2 * wait).min(LONGEST_REPORT_WAIT);
+        report_timeout = (2 * report_timeout).min(MAX_REPORT_TIMEOUT);
     }
 }
 
--- a/src/bin/foldtrack/report_client_tests.rs
+++ b/src/bin/foldtrack/report_client_tests.rs
@@ -1,4 +1,4 @@
-//! ReportClient on connections that are silent, kept, or to an address that discovery has left.
+//! The report client on a silent connection, on a kept connection, and when discovery moves to another address.
 
 use super::*;
 use std::task::{Context, Waker};
@@ -11,73 +11,76 @@
     (listener, address)
 }
 
-/// Takes the notices of each connection that comes.
-async fn take_all(listener: &TcpListener) {
-    let mut kept = Vec::new();
+/// Acknowledges the report of each connection that is made.
+async fn acknowledge_all(listener: &TcpListener) {
+    let mut connections = Vec::new();
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
         let _ = stream.read(&mut [0; 1024]).await;
-        let _ = stream.write_all(TAKEN).await;
-        kept.push(stream);
+        let _ = stream.write_all(ACKNOWLEDGED).await;
+        connections.push(stream);
     }
 }
 
-const TAKEN: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
-const LONG: Duration = Duration::from_secs(10);
+const ACKNOWLEDGED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One report takes more than one connection, though the first says nothing: a notice that came only after a
-/// longer wait would be too late.
+/// Guards against notices that come too late because the first connection is silent: the report has to go out again
+/// on another connection after a short timeout.
 #[tokio::test]
-async fn notices_on_a_silent_connection_go_again_on_another() {
+async fn a_report_without_a_response_is_sent_again_on_a_new_connection() {
     let (listener, address) = listen().await;
-    let (_discovery, seen) = watch::channel(address);
-    let mut reports = ReportClient::new(seen);
+    let (_discovery, address_receiver) = watch::channel(address);
+    let mut reports = ReportClient::new(address_receiver);
     reports.send("{}\n".into(), vec![7]);
     let agent = async {
         let _silent = listener.accept().await.unwrap();
-        take_all(&listener).await;
+        acknowledge_all(&listener).await;
     };
-    let taken = tokio::select! {
-        taken = timeout(LONG, reports.acknowledged()) => taken,
+    let acknowledged = tokio::select! {
+        acknowledged = timeout(TIMEOUT, reports.acknowledged()) => acknowledged,
         () = agent => unreachable!(),
     };
-    assert_eq!(taken, Ok(vec![7]));
+    assert_eq!(acknowledged, Ok(vec![7]));
 }
 
-/// scrape+rate+leave with little processor time: each hand from task to task waited for a turn of all that was ready.
+/// With little CPU time, each handoff from task to task waits for a turn of all ready tasks, which made notices late.
+/// A report on a kept connection is written, and its response read, within one poll.
 #[tokio::test]
-async fn a_notice_on_a_kept_connection_is_written_and_its_answer_read_without_another_task() {
+async fn a_report_on_a_kept_connection_needs_no_other_task() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_discovery, seen) = watch::channel(listener.local_addr().unwrap());
-    let mut reports = ReportClient::new(seen);
+    let (_discovery, address_receiver) = watch::channel(listener.local_addr().unwrap());
+    let mut reports = ReportClient::new(address_receiver);
     let address = listener.local_addr().unwrap();
-    *kept(&reports.kept) = Some((address, ReportConnection::open(address).await.unwrap()));
+    *idle_connection(&reports.idle_connection) =
+        Some((address, ReportConnection::open(address).await.unwrap()));
     let mut agent = listener.accept().unwrap().0;
-    agent.set_read_timeout(Some(LONG)).unwrap();
+    agent.set_read_timeout(Some(TIMEOUT)).unwrap();
     for number in [1, 2] {
         reports.send(format!("notice {number}\n"), vec![number]);
-        // One look is all it takes: nothing else runs before the agent reads it.
+        // One poll is enough: no other task runs before the agent reads the report.
         assert!(pin!(reports.acknowledged()).poll(&mut Context::from_waker(Waker::noop())).is_pending());
-        let mut heard = [0; 1024];
-        let n = std::io::Read::read(&mut agent, &mut heard).expect("a notice");
-        assert!(String::from_utf8_lossy(&heard[..n]).contains(&format!("notice {number}")));
-        std::io::Write::write_all(&mut agent, TAKEN).unwrap();
-        assert_eq!(timeout(LONG, reports.acknowledged()).await, Ok(vec![number]));
+        let mut received = [0; 1024];
+        let n = std::io::Read::read(&mut agent, &mut received).expect("a report");
+        assert!(String::from_utf8_lossy(&received[..n]).contains(&format!("notice {number}")));
+        std::io::Write::write_all(&mut agent, ACKNOWLEDGED).unwrap();
+        assert_eq!(timeout(TIMEOUT, reports.acknowledged()).await, Ok(vec![number]));
     }
 }
 
-/// By the terms the old address is closed 1.5 s after discovery has moved: notices that it has not taken go to the
-/// new one at the next look, not after its time for an answer.
+/// Discovery closes the old address 1.5 s after it has moved. Guards against a report that waits for its response
+/// timeout there: it must go to the new address with the next poll.
 #[tokio::test]
-async fn notices_that_an_old_address_has_not_taken_go_to_the_new_one_at_once() {
+async fn unacknowledged_reports_go_to_a_new_address_at_once() {
     let ((_old, old_address), new) = (listen().await, std::net::TcpListener::bind("127.0.0.1:0").unwrap());
-    let (discovery, seen) = watch::channel(old_address);
-    let mut reports = ReportClient::new(seen);
+    let (discovery, address_receiver) = watch::channel(old_address);
+    let mut reports = ReportClient::new(address_receiver);
     reports.send("{}\n".into(), vec![7]);
-    let mut look = || pin!(reports.acknowledged()).poll(&mut Context::from_waker(Waker::noop())).is_pending();
-    assert!(look());
+    let mut poll_once =
+        || pin!(reports.acknowledged()).poll(&mut Context::from_waker(Waker::noop())).is_pending();
+    assert!(poll_once());
     discovery.send_replace(new.local_addr().unwrap());
-    assert!(look());
+    assert!(poll_once());
     new.set_nonblocking(true).unwrap();
     new.accept().expect("a connection to the new address");
 }
