--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -1,4 +1,4 @@
-//! What the forwarder is told at its start: the environment and the configuration file.
+//! Configuration of the forwarder: the environment and the configuration file.
 
 use crate::endpoint_list_cache;
 use hatchline::discovery::list::ServerList;
@@ -9,16 +9,22 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
+/// The configuration of the process.
 #[derive(Debug)]
 pub(crate) struct Config {
+    /// Where clients connect.
     pub listen_address: SocketAddr,
     pub discovery_address: SocketAddr,
-    /// Where operators connect, if they may.
+    /// Where operators connect, if there is an admin server.
     pub admin_address: Option<SocketAddr>,
+    /// Directory of the files that survive the process.
     pub state_directory: PathBuf,
     pub seed: u64,
+    /// Sockets that may be open at once.
     pub max_sockets: usize,
+    /// Bytes that the files in the state directory may take up.
     pub disk_bytes: u64,
+    /// Endpoint list to start with.
     pub known_endpoints: ServerList,
     pub settings: Arc<Parsed>,
 }
@@ -42,48 +48,48 @@
     disk_mb: f64,
 }
 
-fn variable(name: &str) -> Result<String, String> {
+fn required_variable(name: &str) -> Result<String, String> {
     env::var(name).map_err(|e| format!("{name}: {e}"))
 }
 
-/// An address from the environment, where it is set.
-fn address(name: &str) -> Result<Option<SocketAddr>, String> {
+/// Parses an address from the environment, if the variable is set.
+fn address_variable(name: &str) -> Result<Option<SocketAddr>, String> {
     let parse = |text: String| text.parse().map_err(|e| format!("{name}: {text}: {e}"));
     env::var(name).ok().filter(|text| !text.is_empty()).map(parse).transpose()
 }
 
-/// The file as it is now, and its path.
+/// Reads the configuration file. Returns its path and its present content.
 fn read_file() -> Result<(String, ConfigFile), String> {
-    let path = variable("BALANCER_CONFIG")?;
+    let path = required_variable("BALANCER_CONFIG")?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     let file = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
     Ok((path, file))
 }
 
 impl Config {
-    /// Where discovery is by the file, which may have been replaced since the start.
+    /// Reads the address of discovery from the file, which may have been replaced since the start.
     pub fn reload_discovery_address() -> Result<SocketAddr, String> {
         Ok(read_file()?.1.discovery)
     }
 
     pub fn load() -> Result<Config, String> {
         let (path, mut file) = read_file()?;
-        // The protocol has no call with several messages: joined ones would go as a call each, all at once, on the slot
-        // and the part of the limit of one.
+        // The protocol has no call with several messages. The messages of a batch would go out as one call each, all
+        // at once, on the slot and the rate limit share of a single message.
         file.settings.settings.batch.clear();
         let disk_bytes = file.limits.disk_mb * 1e6;
         if !(disk_bytes.is_finite() && disk_bytes > 0.0) {
-            return Err(format!("{path}: limits.disk_mb is no room"));
+            return Err(format!("{path}: limits.disk_mb is not a positive size"));
         }
         if file.settings.settings.classes.is_empty() || file.settings.settings.slots == 0 {
-            return Err(format!("{path}: settings without classes or without slots"));
+            return Err(format!("{path}: settings need at least one class and one slot"));
         }
-        let state_directory = PathBuf::from(variable("BALANCER_STATE")?);
+        let state_directory = PathBuf::from(required_variable("BALANCER_STATE")?);
         Ok(Config {
-            listen_address: address("BALANCER_LISTEN")?.unwrap_or(file.listen),
-            // The environment keeps the address of the first start; the file may be newer.
+            listen_address: address_variable("BALANCER_LISTEN")?.unwrap_or(file.listen),
+            // The environment still has the address of the first start; the file may be newer.
             discovery_address: file.discovery,
-            admin_address: address("BALANCER_ADMIN")?.or(file.admin),
+            admin_address: address_variable("BALANCER_ADMIN")?.or(file.admin),
             seed: u64::from_str_radix(&file.seed, 16)
                 .map_err(|e| format!("{path}: seed {:?}: {e}", file.seed))?,
             max_sockets: file.limits.sockets,
--- a/src/bin/foldtrack/disabled_endpoints.rs
+++ b/src/bin/foldtrack/disabled_endpoints.rs
@@ -1,12 +1,13 @@
-//! The endpoints that operators have taken out, by name, in a file that outlasts the process.
+//! Names of the endpoints that operators have disabled, in a file that survives the process.
 
 use std::collections::BTreeSet;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file's most bytes while it is replaced, old and new together; the journal leaves them free.
+/// Disk space that the old and the new file may take up together during a change. The write-ahead log leaves it free.
 pub(crate) const RESERVED_BYTES: u64 = 16 * 1024;
 
+/// The names of the disabled endpoints, and the file that has them.
 #[derive(Debug)]
 pub(crate) struct DisabledEndpoints {
     path: PathBuf,
@@ -14,9 +15,9 @@
 }
 
 impl DisabledEndpoints {
-    pub fn open(folder: &Path) -> io::Result<DisabledEndpoints> {
-        let path = folder.join("out");
-        // A change that the process did not live to finish: its call was not answered.
+    pub fn open(directory: &Path) -> io::Result<DisabledEndpoints> {
+        let path = directory.join("out");
+        // Left over from a change that the process did not live to finish: its request got no response.
         let _ = std::fs::remove_file(path.with_extension("new"));
         let names = match std::fs::read(&path) {
             Ok(bytes) => serde_json::from_slice(&bytes)?,
@@ -30,7 +31,7 @@
         self.names.contains(name)
     }
 
-    /// Notes that an endpoint is out, or is not; fails, without effect, where that cannot be kept.
+    /// Records whether an endpoint is disabled. On an error nothing has changed.
     pub fn set_disabled(&mut self, name: &str, disabled: bool) -> io::Result<()> {
         if self.names.contains(name) == disabled {
             return Ok(());
@@ -43,7 +44,7 @@
         }
         let text = serde_json::to_vec(&names)?;
         if 2 * text.len().next_multiple_of(512) as u64 > RESERVED_BYTES {
-            return Err(io::Error::other("too many endpoints are out"));
+            return Err(io::Error::other("too many disabled endpoints"));
         }
         let new = self.path.with_extension("new");
         std::fs::write(&new, text)?;
@@ -58,19 +59,19 @@
     use super::*;
 
     #[test]
-    fn what_is_out_stays_out_over_restarts_and_the_file_is_bounded() {
-        let folder = tempfile::tempdir().unwrap();
-        let mut out = DisabledEndpoints::open(folder.path()).unwrap();
-        out.set_disabled("s-1", true).unwrap();
-        out.set_disabled("s-2", true).unwrap();
-        out.set_disabled("s-2", true).unwrap();
-        out.set_disabled("s-2", false).unwrap();
-        let mut out = DisabledEndpoints::open(folder.path()).unwrap();
-        assert!(out.contains("s-1") && !out.contains("s-2"));
-        let full = (0..).find(|n| out.set_disabled(&format!("{n:0100}"), true).is_err());
+    fn disabled_endpoints_survive_restarts_in_a_bounded_file() {
+        let directory = tempfile::tempdir().unwrap();
+        let mut endpoints = DisabledEndpoints::open(directory.path()).unwrap();
+        endpoints.set_disabled("s-1", true).unwrap();
+        endpoints.set_disabled("s-2", true).unwrap();
+        endpoints.set_disabled("s-2", true).unwrap();
+        endpoints.set_disabled("s-2", false).unwrap();
+        let mut endpoints = DisabledEndpoints::open(directory.path()).unwrap();
+        assert!(endpoints.contains("s-1") && !endpoints.contains("s-2"));
+        let full = (0..).find(|n| endpoints.set_disabled(&format!("{n:0100}"), true).is_err());
         assert!(full.is_some_and(|n| n > 50), "{full:?}");
         let on_disk: u64 =
-            std::fs::read_dir(folder.path()).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
+            std::fs::read_dir(directory.path()).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
         assert!(2 * on_disk <= RESERVED_BYTES);
     }
 }
--- a/src/bin/foldtrack/endpoint_list_cache.rs
+++ b/src/bin/foldtrack/endpoint_list_cache.rs
@@ -1,5 +1,5 @@
-//! The list that discovery told last, in a file that outlasts the process. What it drained binds the next process from
-//! its first moment, also while discovery is silent; the configuration's list may be older.
+//! The last endpoint list from discovery, in a file that survives the process. Drains in it apply to the next process
+//! from its start, also while discovery is silent; the list in the configuration may be older.
 
 use hatchline::discovery::list::{ServerEntry, ServerList, ServerState};
 use std::collections::BTreeMap;
@@ -7,74 +7,81 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Bytes that are kept free for the file, whatever the list: some 200 endpoints.
-const LEAST: usize = 32 * 1024;
+/// Smallest file size to reserve space for, whatever the list: some 200 endpoints.
+const MIN_FILE_BYTES: usize = 32 * 1024;
 
-/// What the folder that lasts has to leave free for a list of so many bytes that may grow by a quarter: the file stands
-/// beside the one that takes its place, each in whole 512 bytes.
-fn room_for(bytes: usize) -> u64 {
-    2 * (bytes + bytes / 4).max(LEAST).next_multiple_of(512) as u64
+/// Disk space to reserve for a list of this size that may grow by a quarter: a new file is written beside the one
+/// that it replaces, each in whole blocks of 512 bytes.
+fn reserved_bytes_for(bytes: usize) -> u64 {
+    2 * (bytes + bytes / 4).max(MIN_FILE_BYTES).next_multiple_of(512) as u64
 }
 
-/// The same for a list to begin with.
-pub(crate) fn reserved_bytes(known: &ServerList) -> u64 {
-    room_for(serde_json::to_vec(known).map_or(0, |bytes| bytes.len()))
+/// Disk space to reserve for the initial list.
+pub(crate) fn reserved_bytes(configured: &ServerList) -> u64 {
+    reserved_bytes_for(serde_json::to_vec(configured).map_or(0, |bytes| bytes.len()))
 }
 
-fn path(folder: &Path) -> PathBuf {
-    folder.join("list")
+fn path(directory: &Path) -> PathBuf {
+    directory.join("list")
 }
 
-/// The list to begin with: the one that was told last, unless the configuration knows a newer one.
-pub(crate) fn load_newest(folder: &Path, known: ServerList) -> ServerList {
-    let kept = match fs::read(path(folder)) {
+/// Loads the list to start with: the last one from discovery, unless the one in the configuration is newer.
+pub(crate) fn load_newest(directory: &Path, configured: ServerList) -> ServerList {
+    let cached = match fs::read(path(directory)) {
         Ok(bytes) => serde_json::from_slice::<ServerList>(&bytes)
-            .inspect_err(|e| eprintln!("discovery: the list that was told last cannot be read: {e}"))
+            .inspect_err(|e| eprintln!("discovery: cannot read the cached endpoint list: {e}"))
             .ok(),
         Err(_) => None,
     };
-    kept.filter(|kept| kept.version >= known.version).unwrap_or(known)
+    cached.filter(|cached| cached.version >= configured.version).unwrap_or(configured)
 }
 
-/// What has been told, and where it is kept.
+/// The current endpoint list, and the file that it is cached in.
 #[derive(Debug)]
 pub(crate) struct EndpointListCache {
     path: PathBuf,
-    lines: BTreeMap<String, ServerEntry>,
-    /// What the folder leaves free.
-    room: u64,
+    entries: BTreeMap<String, ServerEntry>,
+    /// Disk space reserved for the file.
+    reserved: u64,
 }
 
 impl EndpointListCache {
-    pub fn open(folder: &Path, known: &ServerList) -> EndpointListCache {
-        let lines = load_newest(folder, known.clone()).servers.into_iter().map(|s| (s.id.clone(), s));
-        EndpointListCache { path: path(folder), lines: lines.collect(), room: reserved_bytes(known) }
+    pub fn open(directory: &Path, configured: &ServerList) -> EndpointListCache {
+        let entries = load_newest(directory, configured.clone())
+            .servers
+            .into_iter()
+            .map(|entry| (entry.id.clone(), entry));
+        EndpointListCache {
+            path: path(directory),
+            entries: entries.collect(),
+            reserved: reserved_bytes(configured),
+        }
     }
 
-    /// Takes in a list or the changes since the last, and writes what is listed now. If it needs more room, it asks
-    /// for that: `more` says whether so many bytes more are left free from now on.
-    pub fn update(&mut self, list: &ServerList, more: impl FnOnce(u64) -> bool) {
+    /// Applies a full list or changes to it, and writes the resulting list. If it needs more space, `reserve_more` is
+    /// asked to reserve so many more bytes, and returns whether it could.
+    pub fn update(&mut self, list: &ServerList, reserve_more: impl FnOnce(u64) -> bool) {
         if list.full {
-            self.lines.clear();
+            self.entries.clear();
         }
-        self.lines.extend(list.servers.iter().map(|s| (s.id.clone(), s.clone())));
-        self.lines.retain(|_, s| s.state != ServerState::Left);
-        if let Err(error) = self.write(list.version, more) {
-            // An older one would tell less than the configuration does.
+        self.entries.extend(list.servers.iter().map(|entry| (entry.id.clone(), entry.clone())));
+        self.entries.retain(|_, entry| entry.state != ServerState::Left);
+        if let Err(error) = self.write(list.version, reserve_more) {
+            // An outdated list is worse than the one in the configuration.
             let _ = fs::remove_file(&self.path);
-            eprintln!("discovery: the list is not kept over a restart: {error}");
+            eprintln!("discovery: cannot cache the endpoint list: {error}");
         }
     }
 
-    fn write(&mut self, version: u64, more: impl FnOnce(u64) -> bool) -> io::Result<()> {
-        let list = ServerList { version, full: true, servers: self.lines.values().cloned().collect() };
+    fn write(&mut self, version: u64, reserve_more: impl FnOnce(u64) -> bool) -> io::Result<()> {
+        let list = ServerList { version, full: true, servers: self.entries.values().cloned().collect() };
         let bytes = serde_json::to_vec(&list).map_err(io::Error::other)?;
-        let needed = room_for(bytes.len());
-        if 2 * bytes.len().next_multiple_of(512) as u64 > self.room {
-            if !more(needed - self.room) {
+        let needed = reserved_bytes_for(bytes.len());
+        if 2 * bytes.len().next_multiple_of(512) as u64 > self.reserved {
+            if !reserve_more(needed - self.reserved) {
                 return Err(io::Error::other(format!("no room for {needed} bytes")));
             }
-            self.room = needed;
+            self.reserved = needed;
         }
         let new = self.path.with_extension("new");
         fs::write(&new, bytes).and_then(|()| fs::rename(&new, &self.path))
@@ -85,7 +92,7 @@
 mod tests {
     use super::*;
 
-    fn line(id: &str, state: ServerState) -> ServerEntry {
+    fn entry(id: &str, state: ServerState) -> ServerEntry {
         let (addr, zone, kind) = ("127.0.0.1:80".parse().unwrap(), "z".into(), "k".into());
         ServerEntry { id: id.into(), addr, zone, kind, cell: 1, state, weight: 1.5 }
     }
@@ -95,52 +102,54 @@
     }
 
     #[test]
-    fn changes_add_up_over_processes_and_the_newer_list_counts() {
-        let folder = tempfile::tempdir().unwrap();
-        let ids =
-            |list: &ServerList| list.servers.iter().map(|s| (s.id.clone(), s.state)).collect::<Vec<_>>();
-        let known = list(3, true, vec![line("a", ServerState::Active), line("b", ServerState::Active)]);
-        let drained = list(4, false, vec![line("a", ServerState::Leaving)]);
-        EndpointListCache::open(folder.path(), &known).update(&drained, |_| false);
-        let change = list(5, false, vec![line("b", ServerState::Left), line("c", ServerState::Active)]);
-        EndpointListCache::open(folder.path(), &known).update(&change, |_| false);
-        let kept = load_newest(folder.path(), known.clone());
-        assert_eq!((kept.version, kept.full), (5, true));
-        assert_eq!(ids(&kept), [("a".into(), ServerState::Leaving), ("c".into(), ServerState::Active)]);
-        assert_eq!(load_newest(folder.path(), list(6, true, vec![])).version, 6);
-        fs::write(path(folder.path()), "{").unwrap();
-        assert_eq!(load_newest(folder.path(), known).version, 3);
+    fn changes_accumulate_over_restarts_and_the_newer_list_wins() {
+        let directory = tempfile::tempdir().unwrap();
+        let ids = |list: &ServerList| {
+            list.servers.iter().map(|entry| (entry.id.clone(), entry.state)).collect::<Vec<_>>()
+        };
+        let configured =
+            list(3, true, vec![entry("a", ServerState::Active), entry("b", ServerState::Active)]);
+        let drained = list(4, false, vec![entry("a", ServerState::Leaving)]);
+        EndpointListCache::open(directory.path(), &configured).update(&drained, |_| false);
+        let change = list(5, false, vec![entry("b", ServerState::Left), entry("c", ServerState::Active)]);
+        EndpointListCache::open(directory.path(), &configured).update(&change, |_| false);
+        let cached = load_newest(directory.path(), configured.clone());
+        assert_eq!((cached.version, cached.full), (5, true));
+        assert_eq!(ids(&cached), [("a".into(), ServerState::Leaving), ("c".into(), ServerState::Active)]);
+        assert_eq!(load_newest(directory.path(), list(6, true, vec![])).version, 6);
+        fs::write(path(directory.path()), "{").unwrap();
+        assert_eq!(load_newest(directory.path(), configured).version, 3);
     }
 
     #[test]
-    fn a_list_that_has_no_room_is_not_kept_at_all() {
-        let folder = tempfile::tempdir().unwrap();
-        let mut last = EndpointListCache::open(folder.path(), &ServerList::default());
-        last.update(&list(1, true, vec![line("a", ServerState::Active)]), |_| false);
-        last.update(&many(2), |_| false);
-        assert_eq!(load_newest(folder.path(), ServerList::default()).version, 0);
+    fn a_list_without_space_is_not_cached() {
+        let directory = tempfile::tempdir().unwrap();
+        let mut cache = EndpointListCache::open(directory.path(), &ServerList::default());
+        cache.update(&list(1, true, vec![entry("a", ServerState::Active)]), |_| false);
+        cache.update(&list_of_1024(2), |_| false);
+        assert_eq!(load_newest(directory.path(), ServerList::default()).version, 0);
     }
 
-    fn many(version: u64) -> ServerList {
-        list(version, true, (0..1024).map(|n| line(&format!("s-{n:08x}"), ServerState::Leaving)).collect())
+    fn list_of_1024(version: u64) -> ServerList {
+        list(version, true, (0..1024).map(|n| entry(&format!("s-{n:08x}"), ServerState::Leaving)).collect())
     }
 
     #[test]
-    fn a_list_of_a_thousand_endpoints_is_kept_in_the_room_it_asks_for() {
-        let folder = tempfile::tempdir().unwrap();
-        let mut last = EndpointListCache::open(folder.path(), &ServerList::default());
-        let mut room = last.room;
-        last.update(&many(1), |more| {
-            room += more;
+    fn a_list_of_a_thousand_endpoints_fits_the_space_it_reserves() {
+        let directory = tempfile::tempdir().unwrap();
+        let mut cache = EndpointListCache::open(directory.path(), &ServerList::default());
+        let mut reserved = cache.reserved;
+        cache.update(&list_of_1024(1), |bytes| {
+            reserved += bytes;
             true
         });
-        let kept = load_newest(folder.path(), ServerList::default());
-        assert_eq!((kept.version, kept.servers.len()), (1, 1024));
-        let on_disk = fs::metadata(path(folder.path())).unwrap().len().next_multiple_of(512);
-        assert!(2 * on_disk <= room, "{on_disk} bytes beside those that take their place, in {room}");
-        // From the next start on the room is there from the first moment.
-        assert_eq!(super::reserved_bytes(&kept), room);
-        EndpointListCache::open(folder.path(), &kept).update(&many(2), |_| false);
-        assert_eq!(load_newest(folder.path(), ServerList::default()).version, 2);
+        let cached = load_newest(directory.path(), ServerList::default());
+        assert_eq!((cached.version, cached.servers.len()), (1, 1024));
+        let on_disk = fs::metadata(path(directory.path())).unwrap().len().next_multiple_of(512);
+        assert!(2 * on_disk <= reserved, "two files of {on_disk} bytes in {reserved}");
+        // From the next start on the space is reserved from the beginning.
+        assert_eq!(super::reserved_bytes(&cached), reserved);
+        EndpointListCache::open(directory.path(), &cached).update(&list_of_1024(2), |_| false);
+        assert_eq!(load_newest(directory.path(), ServerList::default()).version, 2);
     }
 }
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -1,4 +1,4 @@
-//! A message on its way through the forwarder.
+//! A message that a client has submitted, and its form in the write-ahead log.
 
 use crate::clock::Clock;
 use crate::write_ahead_log::AcceptedMessage;
@@ -8,12 +8,13 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// A message as it was handed in.
+/// A message as its client submitted it.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub id: String,
     pub class: usize,
     pub destination: u32,
+    /// Messages with the same key are delivered one at a time, in order; empty for none.
     pub order_key: String,
     pub idempotency_key: Option<String>,
     pub retry_header: Option<String>,
@@ -22,7 +23,7 @@
 }
 
 impl Message {
-    /// Bytes that it takes in the journal, about.
+    /// Approximate size in the write-ahead log, in bytes.
     pub fn log_bytes(&self) -> usize {
         let key = self.idempotency_key.as_ref().map_or(0, String::len);
         self.body.len() + self.id.len() + self.order_key.len() + key + 128
@@ -32,7 +33,7 @@
         order_key_hash(&self.order_key)
     }
 
-    /// As the journal has it.
+    /// Converts to the form in the write-ahead log.
     pub fn to_accepted(&self, settings: &Parsed, clock: &Clock) -> AcceptedMessage {
         AcceptedMessage {
             id: self.id.clone(),
@@ -46,7 +47,8 @@
         }
     }
 
-    /// The other way; the class is past all that the settings have if they do not name it any more.
+    /// Converts from the form in the write-ahead log. If the settings do not name the class any more, the class index
+    /// is beyond all of theirs.
     pub fn from_accepted(accepted: AcceptedMessage, settings: &Parsed, clock: &Clock) -> Message {
         let class = settings.class_names.iter().position(|n| *n == accepted.class);
         Message {
@@ -62,7 +64,7 @@
     }
 }
 
-/// The module's name for a key, 0 for none; two keys that share one only wait for each other.
+/// The order key as the policy knows it, 0 for none. Two keys with the same hash only wait for each other.
 pub(crate) fn order_key_hash(order_key: &str) -> u64 {
     if order_key.is_empty() {
         return 0;
