--- a/src/bin/foldtrack/calls.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints: runs one call to its outcome, and pools the connections that are idle between calls.
 
 use crate::connection::{HttpConnection, RequestBody, SendError, StatusLine};
-use crate::events::{CallEnd, Input, Inputs};
+use crate::events::{CallEnd, EventSender, NodeEvent};
 use crate::message::Message;
 use hatchline::{LimitReport, Outcome, TargetId};
 use hyper::body::Incoming;
@@ -89,9 +89,9 @@
 }
 
 /// Makes one call and reports its end exactly once. It never retries.
-pub(crate) async fn make_call(call: Call, mut cancelled: oneshot::Receiver<()>, events: Inputs) {
+pub(crate) async fn make_call(call: Call, mut cancelled: oneshot::Receiver<()>, events: EventSender) {
     let end = CallEnd::new(call.number, call.attempt, call.target, Outcome::ConnectFailed, false);
-    let mut end = CallEnd { era: call.generation, ..end };
+    let mut end = CallEnd { generation: call.generation, ..end };
     let Call { message, connection: idle, timeout_at, dial_timeout, address, reads_limit_reports, .. } = call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
     let (reused, written) = (idle.is_some(), events.clone());
@@ -102,7 +102,7 @@
         let mut connection = match idle {
             Some((_, connection)) => connection,
             None => {
-                let on_written = move |class| written.send(Input::Written { class });
+                let on_written = move |class| written.send(NodeEvent::MessageWritten { class });
                 let Ok(Ok(connection)) =
                     timeout(dial_timeout, HttpConnection::open(address, on_written)).await
                 else {
@@ -112,7 +112,7 @@
                 // call too, so the node is asked once more.
                 let (go, proceed) = oneshot::channel();
                 let (number, attempt, target) = (call.number, call.attempt, call.target);
-                events.send(Input::Connected { number, attempt, target, go });
+                events.send(NodeEvent::Connected { number, attempt, target, proceed: go });
                 if !proceed.await.unwrap_or(false) {
                     unused_connection = Some(connection);
                     return Err(Outcome::NotSent);
@@ -146,18 +146,18 @@
             let body =
                 timeout(BODY_TIMEOUT, connection.read_body(response.into_body(), MAX_BODY_BYTES)).await;
             end.connection = matches!(body, Ok(Some(_))).then_some(connection);
-            end.cut_short = end.connection.is_none() && end.outcome != Outcome::TooManyConnections;
+            end.response_truncated = end.connection.is_none() && end.outcome != Outcome::TooManyConnections;
         }
         // The status line says 200, but the response cannot be read or is incomplete: the message is delivered.
         Err(_) if status_line.as_ref().is_some_and(StatusLine::is_ok) => {
-            (end.outcome, end.over, end.cut_short) = (Outcome::Ok, true, true);
+            (end.outcome, end.completes_message, end.response_truncated) = (Outcome::Ok, true, true);
         }
         Err(Some(Outcome::Cancelled)) if status_line.is_none() => end.outcome = Outcome::NotSent,
         Err(None) if status_line.is_none() => end.outcome = Outcome::ConnectFailed,
         Err(None) => end.outcome = Outcome::TimedOut,
         Err(Some(outcome)) => (end.outcome, end.connection) = (outcome, unused_connection),
     }
-    events.send(Input::CallEnded(end));
+    events.send(NodeEvent::CallEnded(end));
 }
 
 fn build_request(
@@ -183,7 +183,7 @@
 fn rejects_connection(end: &CallEnd, response: &Response<Incoming>) -> bool {
     let closes =
         header_text(response.headers(), CONNECTION.as_str()).is_some_and(|v| v.eq_ignore_ascii_case("close"));
-    closes && end.outcome == Outcome::Full && end.wait_until.is_none()
+    closes && end.outcome == Outcome::Rejected && end.wait_until.is_none()
 }
 
 /// Determines the outcome from the response, by the table of the protocol. A call with any other status may have run.
@@ -191,19 +191,20 @@
     let headers = response.headers();
     end.outcome = match response.status() {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::TOO_MANY_REQUESTS => Outcome::Full,
+        StatusCode::TOO_MANY_REQUESTS => Outcome::Rejected,
         StatusCode::SERVICE_UNAVAILABLE if headers.contains_key("X-Line-Busy") => Outcome::NotSent,
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::NotSent,
         _ => Outcome::Error,
     };
-    end.over = matches!(response.status(), StatusCode::OK | StatusCode::GONE);
-    if end.outcome == Outcome::Full {
+    end.completes_message = matches!(response.status(), StatusCode::OK | StatusCode::GONE);
+    if end.outcome == Outcome::Rejected {
         let wait = header_text(headers, "X-Come-Back-Ms").and_then(|ms| ms.trim().parse::<f64>().ok());
         let wait = wait.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
         end.wait_until = wait.and_then(|w| Instant::now().checked_add(w));
     }
-    end.report = header_text(headers, "X-Load").filter(|_| reads_limit_reports).and_then(parse_limit_report);
+    end.limit_report =
+        header_text(headers, "X-Load").filter(|_| reads_limit_reports).and_then(parse_limit_report);
 }
 
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoint_list_cache;
 use hatchline::discovery::list::ServerList;
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use serde::Deserialize;
 use std::env;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     pub disk_bytes: u64,
     /// Endpoint list to start with.
     pub known_endpoints: ServerList,
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
 }
 
 #[derive(Deserialize)]
@@ -39,7 +39,7 @@
     limits: Limits,
     #[serde(default)]
     known: ServerList,
-    settings: Parsed,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -76,7 +76,7 @@
         let (path, mut file) = read_file()?;
         // The protocol has no call with several messages. The messages of a batch would go out as one call each, all
         // at once, on the slot and the rate limit share of a single message.
-        file.settings.settings.batch.clear();
+        file.settings.settings.batch_by_kind.clear();
         let disk_bytes = file.limits.disk_mb * 1e6;
         if !(disk_bytes.is_finite() && disk_bytes > 0.0) {
             return Err(format!("{path}: limits.disk_mb is not a positive size"));
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -2,7 +2,7 @@
 //! written completely, and keep the status line of its response.
 
 use crate::message::Message;
-use crate::streams::{Tap, Tapped};
+use crate::streams::{ObservedStream, StreamObserver};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -119,12 +119,12 @@
     on_written: F,
 }
 
-impl<S, F: Fn(usize)> Tap<S> for CallObserver<F> {
-    fn read(&mut self, bytes: &[u8]) {
+impl<S, F: Fn(usize)> StreamObserver<S> for CallObserver<F> {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.status_line.append(bytes);
     }
 
-    fn flushed(&mut self, _: &S, _: &mut Context) {
+    fn on_flush(&mut self, _: &S, _: &mut Context) {
         let class = self.pending_class.swap(NOT_WRITING, Ordering::Relaxed);
         if class != NOT_WRITING {
             (self.on_written)(class);
@@ -175,7 +175,7 @@
             status_line: status_line.clone(),
             on_written,
         };
-        let tapped = Tapped { stream, tap };
+        let tapped = ObservedStream { stream, observer: tap };
         let handshake =
             http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(tapped)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
--- a/src/bin/foldtrack/discovery_client.rs
+++ b/src/bin/foldtrack/discovery_client.rs
@@ -2,7 +2,7 @@
 //! unless one fails.
 
 use crate::connection::{HttpConnection, RequestBody};
-use crate::events::{Input, Inputs};
+use crate::events::{EventSender, NodeEvent};
 use bytes::Bytes;
 use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent};
 use hatchline::discovery::{ListRequest, Reply, Transport, TransportError};
@@ -18,10 +18,10 @@
 
 /// Creates a client that reports each list to the node. The caller runs it.
 pub(crate) fn build_client(
-    settings: &Settings, events: Inputs,
+    settings: &Settings, events: EventSender,
 ) -> Client<HttpTransport, impl FnMut(DiscoveryEvent) + Send> {
     let on_event = move |event| match event {
-        DiscoveryEvent::List(list) => events.send(Input::List(list)),
+        DiscoveryEvent::List(list) => events.send(NodeEvent::List(list)),
         DiscoveryEvent::InvalidReply { status, error } => {
             let reason = error.map_or_else(|| "unexpected status".to_string(), |error| error.to_string());
             eprintln!("discovery: invalid reply with status {status}: {reason}");
--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -2,14 +2,17 @@
 //! owner of the write-ahead log decides on their messages. The two exchange frames until the old process ends.
 
 use crate::clock::Clock;
-use crate::events::{AdminRequest, AdminResponse, Answer, CallEnd, Input, Inputs, Receipt, Stage};
-use crate::figures::{Ended, Figures};
+use crate::connection_limit::ConnectionLimit;
+use crate::events::{
+    AdminRequest, AdminResponse, CallEnd, EventSender, LifecycleStage, NodeEvent, ResponseGuard,
+    SubmitResponse,
+};
 use crate::hot_restart::{encode_frame, frame_length};
 use crate::message::Message;
-use crate::places::Places;
+use crate::metrics::{MessageResult, Metrics};
 use crate::write_ahead_log::AcceptedMessage;
-use hatchline::settings::Parsed;
-use hatchline::{LimitReport, Outcome, Pool, TargetId};
+use hatchline::settings::DeploymentSettings;
+use hatchline::{EndpointCounts, LimitReport, Outcome, TargetId};
 use hyper::StatusCode;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -75,8 +78,8 @@
 
 /// The link of the owner to the process that it took over from.
 pub(crate) struct PredecessorLink {
-    pub events: Inputs,
-    pub settings: Arc<Parsed>,
+    pub events: EventSender,
+    pub settings: Arc<DeploymentSettings>,
     pub calls: Vec<InheritedCall>,
     /// Messages whose clients the old process is telling that they are accepted.
     pub responding: BTreeSet<u64>,
@@ -88,7 +91,7 @@
 /// A command of the owner to the old process.
 enum Command {
     Cancel { number: u64, attempt: u32 },
-    Answer { request: u64, answer: Answer },
+    Answer { request: u64, answer: SubmitResponse },
 }
 
 impl PredecessorLink {
@@ -110,7 +113,7 @@
                 }
             });
         }
-        let mut receipts: BTreeMap<u64, Receipt> = BTreeMap::new();
+        let mut receipts: BTreeMap<u64, ResponseGuard> = BTreeMap::new();
         let (frames, mut received) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok(frame) = read_frame::<PredecessorFrame>(&mut reader).await {
@@ -125,12 +128,12 @@
                 Some(command) = commands.recv() => {
                     let frame = match command {
                         Command::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
-                        Command::Answer { request, answer: Answer::TakenOn(receipt) } => {
+                        Command::Answer { request, answer: SubmitResponse::Accepted(receipt) } => {
                             let number = receipt.number();
                             receipts.insert(number, receipt);
                             OwnerFrame::TakenOn { request, number }
                         }
-                        Command::Answer { request, answer: Answer::Refused { retry_in_ms } } =>
+                        Command::Answer { request, answer: SubmitResponse::Refused { retry_in_ms } } =>
                             OwnerFrame::Refused { request, retry_in_ms },
                     };
                     // If the old process has ended, its side of the stream is closed too.
@@ -142,11 +145,11 @@
                     }) => {
                         open_calls.remove(&(number, attempt));
                         let now = Instant::now();
-                        events.send(Input::CallEnded(CallEnd {
-                            begun: now.checked_sub(took).unwrap_or(now),
+                        events.send(NodeEvent::CallEnded(CallEnd {
+                            started_at: now.checked_sub(took).unwrap_or(now),
                             wait_until: wait.and_then(|wait| now.checked_add(wait)),
                             idle_for,
-                            report,
+                            limit_report: report,
                             ..CallEnd::new(number, attempt, target, outcome, over)
                         }));
                     }
@@ -154,13 +157,13 @@
                         Some(mut receipt) => receipt.written = written,
                         None => {
                             responding.remove(&number);
-                            events.send(Input::Answered { number, written });
+                            events.send(NodeEvent::ResponseEnded { number, written });
                         }
                     },
                     Some(PredecessorFrame::HandIn { request, accepted }) => {
                         let message = Message::from_accepted(accepted, &settings, &clock);
                         let (reply, answer) = oneshot::channel();
-                        events.send(Input::HandIn { message: Arc::new(message), reply });
+                        events.send(NodeEvent::Submit { message: Arc::new(message), reply });
                         let command_sender = command_sender.clone();
                         tokio::spawn(async move {
                             if let Ok(answer) = answer.await {
@@ -173,10 +176,12 @@
             }
         }
         for ((number, attempt), target) in open_calls {
-            events.send(Input::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
+            events.send(NodeEvent::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
         }
         receipts.into_values().for_each(|mut receipt| receipt.written = true);
-        responding.into_iter().for_each(|number| events.send(Input::Answered { number, written: true }));
+        responding
+            .into_iter()
+            .for_each(|number| events.send(NodeEvent::ResponseEnded { number, written: true }));
         drop(reserved_connections);
         eprintln!("upgrade: the old process has ended");
         Ok(())
@@ -191,13 +196,13 @@
 pub(crate) struct DrainingProcess {
     /// The sender that cancels each call, unless it has been used.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
-    pub figures: Figures,
-    pub pool: Pool,
-    pub events: Inputs,
-    pub settings: Arc<Parsed>,
+    pub figures: Metrics,
+    pub pool: EndpointCounts,
+    pub events: EventSender,
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
-    pub stage: watch::Sender<Stage>,
-    pub places: Places,
+    pub stage: watch::Sender<LifecycleStage>,
+    pub places: ConnectionLimit,
     /// After a signal to terminate: when idle connections close, and by when the process has ended.
     pub close_idle_after: Duration,
     pub exit_within: Duration,
@@ -215,7 +220,7 @@
 impl DrainingProcess {
     /// Drains on behalf of the successor until nothing is left to do.
     pub async fn run(
-        mut self, stream: UnixStream, mut receiver: UnboundedReceiver<Input>,
+        mut self, stream: UnixStream, mut receiver: UnboundedReceiver<NodeEvent>,
     ) -> io::Result<ExitReason> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
@@ -235,21 +240,21 @@
                 }
             }
         });
-        let mut replies: BTreeMap<u64, oneshot::Sender<Answer>> = BTreeMap::new();
+        let mut replies: BTreeMap<u64, oneshot::Sender<SubmitResponse>> = BTreeMap::new();
         let mut calls = std::mem::take(&mut self.calls);
         let (mut last_request, mut terminated, mut next_check) = (0, None, Instant::now() + CHECK_INTERVAL);
         let reason = loop {
             tokio::select! {
                 biased;
                 Some(input) = receiver.recv() => match input {
-                    Input::HandIn { message, reply } => {
+                    NodeEvent::Submit { message, reply } => {
                         last_request += 1;
                         replies.insert(last_request, reply);
                         let accepted = message.to_accepted(&self.settings, &self.clock);
                         let _ = frame_sender.send(PredecessorFrame::HandIn { request: last_request, accepted });
                     }
-                    Input::Terminate => terminated = terminated.or(Some(Instant::now())),
-                    Input::CallEnded(end) => {
+                    NodeEvent::Terminate => terminated = terminated.or(Some(Instant::now())),
+                    NodeEvent::CallEnded(end) => {
                         calls.remove(&(end.number, end.attempt));
                         let _ = frame_sender.send(call_ended_frame(end));
                     }
@@ -263,11 +268,11 @@
                     }
                     Some(OwnerFrame::TakenOn { request, number }) => {
                         // If the client has gone, the receipt is dropped here and says so.
-                        let answer = Answer::TakenOn(Receipt::new(number, self.events.clone()));
+                        let answer = SubmitResponse::Accepted(ResponseGuard::new(number, self.events.clone()));
                         let _ = replies.remove(&request).map(|reply| reply.send(answer));
                     }
                     Some(OwnerFrame::Refused { request, retry_in_ms }) => {
-                        let answer = Answer::Refused { retry_in_ms };
+                        let answer = SubmitResponse::Refused { retry_in_ms };
                         let _ = replies.remove(&request).map(|reply| reply.send(answer));
                     }
                     None if terminated.is_some() => break ExitReason::Completed,
@@ -275,13 +280,13 @@
                 },
                 () = sleep_until(next_check) => {
                     next_check = Instant::now() + CHECK_INTERVAL;
-                    let busy = !(calls.is_empty() && replies.is_empty() && self.places.taken() == 0);
+                    let busy = !(calls.is_empty() && replies.is_empty() && self.places.in_use() == 0);
                     let since_terminate = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
                     if !busy || since_terminate >= self.exit_within {
                         break ExitReason::Completed;
                     }
                     if since_terminate >= self.close_idle_after {
-                        self.stage.send_replace(Stage::Closing);
+                        self.stage.send_replace(LifecycleStage::Closing);
                     }
                 }
             }
@@ -291,18 +296,18 @@
         Ok(reason)
     }
 
-    fn forward(&mut self, input: Input, frame_sender: &UnboundedSender<PredecessorFrame>) {
+    fn forward(&mut self, input: NodeEvent, frame_sender: &UnboundedSender<PredecessorFrame>) {
         // If the successor has ended, `run` notices it when it reads the next frame.
         match input {
-            Input::Answered { number, written } => {
+            NodeEvent::ResponseEnded { number, written } => {
                 let _ = frame_sender.send(PredecessorFrame::Answered { number, written });
             }
-            Input::Written { class } => self.figures.tried(class),
-            Input::TurnedAway { class } => self.figures.ended(class, Ended::Shed),
-            Input::Admin { request, reply } => {
+            NodeEvent::MessageWritten { class } => self.figures.record_attempt(class),
+            NodeEvent::RefusedLate { class } => self.figures.record_result(class, MessageResult::Shed),
+            NodeEvent::Admin { request, reply } => {
                 let _ = reply.send(match request {
                     AdminRequest::Metrics => {
-                        AdminResponse::new(StatusCode::OK, self.figures.text(0, self.pool))
+                        AdminResponse::new(StatusCode::OK, self.figures.render(0, self.pool))
                     }
                     _ => {
                         AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "a new version has taken over\n")
@@ -322,11 +327,11 @@
         attempt: end.attempt,
         target: end.target,
         outcome: end.outcome,
-        over: end.over,
-        took: end.begun.elapsed(),
+        over: end.completes_message,
+        took: end.started_at.elapsed(),
         idle_for: end.idle_for,
         wait: end.wait_until.map(|until| until.saturating_duration_since(Instant::now())),
-        report: end.report,
+        report: end.limit_report,
     }
 }
 
@@ -342,21 +347,21 @@
     fn a_draining_process_counts_its_refusals() {
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
         let settings = json!({"balancers": 1, "categories": classes, "limits": {}});
-        let settings: Arc<Parsed> = Arc::new(serde_json::from_value(settings).unwrap());
+        let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_value(settings).unwrap());
         let mut process = DrainingProcess {
             calls: BTreeMap::new(),
-            figures: Figures::new(&settings.class_names),
-            pool: Pool::default(),
+            figures: Metrics::new(&settings.class_names),
+            pool: EndpointCounts::default(),
             events: events::channel().0,
             settings,
             clock: Clock::new(),
-            stage: watch::Sender::new(Stage::Succeeded),
-            places: Places::new(1),
+            stage: watch::Sender::new(LifecycleStage::HandedOver),
+            places: ConnectionLimit::new(1),
             close_idle_after: Duration::ZERO,
             exit_within: Duration::ZERO,
         };
-        process.forward(Input::TurnedAway { class: 0 }, &mpsc::unbounded_channel().0);
-        let text = process.figures.text(0, process.pool);
+        process.forward(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
+        let text = process.figures.render(0, process.pool);
         assert!(text.contains("responses.note.shed=1"), "{text}");
     }
 }
--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -1,8 +1,8 @@
 //! Hot restart: a new process takes over from the running one. This module has the lock that tells who owns the
 //! write-ahead log, and the exchange in which the ownership changes hands.
 
-use crate::events::{Input, Inputs};
-use hatchline::settings::Parsed;
+use crate::events::{EventSender, NodeEvent};
+use hatchline::settings::DeploymentSettings;
 use hatchline::{Micros, TargetId};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -54,8 +54,8 @@
 
 /// Identifies the format of the transferred state: its layout, and the names that it refers to by their position in
 /// the settings. A takeover needs equal formats.
-pub(crate) fn state_format(settings: &Parsed) -> String {
-    let Parsed { class_names, kind_names, zone_names, .. } = settings;
+pub(crate) fn state_format(settings: &DeploymentSettings) -> String {
+    let DeploymentSettings { class_names, kind_names, zone_names, .. } = settings;
     format!("{} {class_names:?} {kind_names:?} {zone_names:?}", hatchline::FORMAT)
 }
 
@@ -252,7 +252,7 @@
 
 /// Listens for successors and passes those whose state format matches on to the node.
 pub(crate) fn listen_for_successors(
-    socket_path: &Path, format: String, events: Inputs,
+    socket_path: &Path, format: String, events: EventSender,
 ) -> io::Result<JoinHandle<()>> {
     match fs::remove_file(socket_path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -274,12 +274,12 @@
             };
             match timeout(EXCHANGE_TIMEOUT, greeting).await {
                 Ok(Ok(successor_format)) if successor_format == format => match stream.into_std() {
-                    Ok(stream) => events.send(Input::Successor(stream)),
+                    Ok(stream) => events.send(NodeEvent::Successor(stream)),
                     Err(error) => eprintln!("upgrade: {error}"),
                 },
                 Ok(Ok(successor_format)) => {
                     eprintln!("upgrade: state format of the successor differs: {successor_format}, expected {format}; terminating");
-                    events.send(Input::Terminate);
+                    events.send(NodeEvent::Terminate);
                 }
                 Ok(Err(error)) => eprintln!("upgrade: {error}"),
                 Err(_) => eprintln!("upgrade: timed out waiting for the state format of a successor"),
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::write_ahead_log::AcceptedMessage;
 use bytes::Bytes;
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::Micros;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -34,7 +34,7 @@
     }
 
     /// Converts to the form in the write-ahead log.
-    pub fn to_accepted(&self, settings: &Parsed, clock: &Clock) -> AcceptedMessage {
+    pub fn to_accepted(&self, settings: &DeploymentSettings, clock: &Clock) -> AcceptedMessage {
         AcceptedMessage {
             id: self.id.clone(),
             class: settings.class_names.get(self.class).cloned().unwrap_or_default(),
@@ -49,7 +49,7 @@
 
     /// Converts from the form in the write-ahead log. If the settings do not name the class any more, the class index
     /// is beyond all of theirs.
-    pub fn from_accepted(accepted: AcceptedMessage, settings: &Parsed, clock: &Clock) -> Message {
+    pub fn from_accepted(accepted: AcceptedMessage, settings: &DeploymentSettings, clock: &Clock) -> Message {
         let class = settings.class_names.iter().position(|n| *n == accepted.class);
         Message {
             id: accepted.id,
--- a/src/bin/foldtrack/node/takeover.rs
+++ b/src/bin/foldtrack/node/takeover.rs
@@ -1,10 +1,13 @@
 //! The part of the node in a hot restart: the state that the owner hands over, and how a successor continues from it.
 
-use super::{Held, Node, Out, Server, Stage, Taken, Waiting, ACCEPT_ON, END_BY};
+use super::{
+    Acceptance, HeldMessage, InFlightCall, KnownEndpoint, LifecycleStage, Node, PendingSend,
+    ACCEPT_AFTER_TERMINATE, TERMINATE_TIMEOUT,
+};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::draining::{DrainingProcess, InheritedCall, PredecessorLink};
-use crate::events::Inputs;
+use crate::events::EventSender;
 use crate::hot_restart::{self, MessageState, TakeoverOffer, TakeoverState};
 use crate::message::Message;
 use crate::write_ahead_log::RestoredMessage;
@@ -19,15 +22,15 @@
 impl Node {
     /// Continues where another process stops. On an error the other process stays the owner.
     pub(super) fn take_over(
-        config: &Config, inputs: &Inputs, offer: TakeoverOffer,
+        config: &Config, inputs: &EventSender, offer: TakeoverOffer,
     ) -> io::Result<(Node, StdListener)> {
         let settings = config.settings.settings.clone();
-        let policy = DeliveryPolicy::take_over(&offer.state.policy, settings).map_err(io::Error::other)?;
+        let policy = DeliveryPolicy::import_state(&offer.state.policy, settings).map_err(io::Error::other)?;
         let clock = Clock::resume(offer.state.clock_now, offer.state.unix_now);
         let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
         let (state, lock, listener, stream) = offer.accept()?;
         node.lock = Some(lock);
-        let reserved_connections = node.places.reserve(state.client_connections);
+        let reserved_connections = node.connection_limit.reserve(state.client_connections);
         let (calls, responding) = node.adopt_state(state, restored);
         let (events, settings) = (inputs.clone(), config.settings.clone());
         let predecessor =
@@ -48,23 +51,28 @@
         self.next_number = self.next_number.max(state.next_number);
         self.timers = state.timers.into_iter().collect();
         for (name, address, zone, era) in state.endpoints {
-            self.target_ids.insert(name, self.servers.len() as TargetId);
-            self.servers.push(Server { address, zone, era });
+            self.target_ids.insert(name, self.endpoints.len() as TargetId);
+            self.endpoints.push(KnownEndpoint { address, zone, generation: era });
         }
         let mut responding = BTreeSet::new();
         for MessageState { number, attempts, acknowledged, waiting } in state.messages {
             let Some(restored_message) = restored.remove(&number) else {
                 // An error that was logged kept it out of the write-ahead log: it cannot be sent.
-                self.handle(Event::Lapsed { id: number });
+                self.notify_policy(Event::Abandoned { id: number });
                 continue;
             };
             let message =
                 Arc::new(Message::from_accepted(restored_message.accepted, &self.settings, &self.clock));
-            let taken = if acknowledged { Taken::On } else { Taken::Answering };
+            let acceptance = if acknowledged { Acceptance::Accepted } else { Acceptance::Responding };
             responding.extend((!acknowledged).then_some(number));
-            let waiting =
-                waiting.map(|(attempt, target, until, decided)| Waiting { attempt, target, until, decided });
-            self.messages.insert(number, Held { message, taken, attempts, waiting });
+            let waiting = waiting.map(|(attempt, target, until, decided)| PendingSend {
+                attempt,
+                target,
+                until,
+                decided_at: decided,
+            });
+            self.messages
+                .insert(number, HeldMessage { message, acceptance, attempts, pending_send: waiting });
         }
         // The other messages have ended, and their notices are not acknowledged yet.
         for (number, message) in restored {
@@ -72,7 +80,8 @@
         }
         let inherited = |(number, attempt, target, begun): (u64, u32, TargetId, bool)| {
             let (cancel, cancelled) = oneshot::channel();
-            self.calls.insert((number, attempt), Out { target, cancel: Some(cancel), begun });
+            self.calls
+                .insert((number, attempt), InFlightCall { target, cancel: Some(cancel), started: begun });
             (number, attempt, target, cancelled)
         };
         (state.calls.into_iter().map(inherited).collect(), responding)
@@ -80,35 +89,35 @@
 
     /// Offers everything to a successor. On an error this process is still the owner.
     pub(super) fn offer_takeover(&self, successor: &UnixStream) -> io::Result<()> {
-        let (None, Some(listener), Some(lock)) = (self.terminated, &self.listener, &self.lock) else {
+        let (None, Some(listener), Some(lock)) = (self.terminated_at, &self.listener, &self.lock) else {
             return Err(io::Error::other("this process is terminating"));
         };
         let clock_now = self.clock.now();
-        let held = |(number, held): (&u64, &Held)| MessageState {
+        let held = |(number, held): (&u64, &HeldMessage)| MessageState {
             number: *number,
             attempts: held.attempts,
-            acknowledged: matches!(held.taken, Taken::On),
-            waiting: held.waiting.as_ref().map(|w| (w.attempt, w.target, w.until, w.decided)),
+            acknowledged: matches!(held.acceptance, Acceptance::Accepted),
+            waiting: held.pending_send.as_ref().map(|w| (w.attempt, w.target, w.until, w.decided_at)),
         };
         let named = |(name, target): (&String, &TargetId)| {
-            let Server { address, zone, era } = self.servers[*target as usize];
+            let KnownEndpoint { address, zone, generation: era } = self.endpoints[*target as usize];
             (*target, (name.clone(), address, zone, era))
         };
         let servers: BTreeMap<_, _> = self.target_ids.iter().map(named).collect();
         let state = TakeoverState {
             clock_now,
             unix_now: self.clock.unix_micros_at(clock_now),
-            policy: self.policy.hand_over().map_err(io::Error::other)?,
+            policy: self.policy.export_state().map_err(io::Error::other)?,
             next_number: self.next_number,
             messages: self.messages.iter().map(held).collect(),
             calls: self
                 .calls
                 .iter()
-                .map(|((number, attempt), out)| (*number, *attempt, out.target, out.begun))
+                .map(|((number, attempt), out)| (*number, *attempt, out.target, out.started))
                 .collect(),
             endpoints: servers.into_values().collect(),
             timers: self.timers.iter().copied().collect(),
-            client_connections: self.places.taken(),
+            client_connections: self.connection_limit.in_use(),
         };
         hot_restart::offer_takeover(successor, &state, listener, lock)
     }
@@ -116,18 +125,18 @@
     /// What this process still has to do after the takeover. The lock and the write-ahead log belong to the
     /// successor.
     pub(super) fn into_draining_process(self) -> DrainingProcess {
-        self.stage.send_replace(Stage::Succeeded);
+        self.stage.send_replace(LifecycleStage::HandedOver);
         DrainingProcess {
             calls: self.calls.into_iter().map(|(call, out)| (call, out.cancel)).collect(),
-            figures: self.figures,
-            pool: self.policy.pool(),
-            events: self.inputs,
+            figures: self.metrics,
+            pool: self.policy.endpoint_counts(),
+            events: self.events,
             settings: self.settings,
             clock: self.clock,
             stage: self.stage,
-            places: self.places,
-            close_idle_after: ACCEPT_ON,
-            exit_within: END_BY,
+            places: self.connection_limit,
+            close_idle_after: ACCEPT_AFTER_TERMINATE,
+            exit_within: TERMINATE_TIMEOUT,
         }
     }
 }
--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/hatchline-adapter/host.rs
@@ -2,15 +2,15 @@
 //! actions.
 
 use crate::wire::{Batch, Entry, Input, Output, Reply, WireError};
-use hatchline::settings::Parsed;
+use hatchline::settings::DeploymentSettings;
 use hatchline::{Action, DeliveryPolicy, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 struct Instance {
     policy: DeliveryPolicy,
-    share_left_at: Option<usize>,
-    rate_at: Option<usize>,
+    share_left_index: Option<usize>,
+    rate_index: Option<usize>,
 }
 
 /// The policy instances of this process, and the endpoint lists that records refer to by number.
@@ -24,7 +24,7 @@
     Ok(match status {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -38,7 +38,7 @@
     let state = match entry.status {
         3 => EndpointState::Ready,
         0 => EndpointState::Draining,
-        1 => EndpointState::Gone,
+        1 => EndpointState::Removed,
         other => return Err(WireError(format!("unknown endpoint status {other}"))),
     };
     Ok(Endpoint {
@@ -54,7 +54,7 @@
 impl Instance {
     fn limit_report(&self, values: &[f32]) -> Option<LimitReport> {
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).map(|v| f64::from(*v));
-        Some(LimitReport { share_left: value(self.share_left_at)?, rate: value(self.rate_at)? })
+        Some(LimitReport { share_left: value(self.share_left_index)?, rate: value(self.rate_index)? })
     }
 }
 
@@ -76,12 +76,13 @@
                     continue;
                 }
                 Input::Born { i, salt, env } => {
-                    let Parsed { settings, share_left_at, rate_at, .. } = serde_json::from_slice(&env)
-                        .map_err(|e| WireError(format!("settings of instance {i} are invalid: {e}")))?;
+                    let DeploymentSettings { settings, share_left_index, rate_index, .. } =
+                        serde_json::from_slice(&env)
+                            .map_err(|e| WireError(format!("settings of instance {i} are invalid: {e}")))?;
                     let policy = catch_panic(i, &mut reply, || DeliveryPolicy::new(clock, salt, settings));
                     actions_by_instance.insert(i, Vec::new());
                     if let Some(policy) = policy {
-                        self.instances.insert(i, Instance { policy, share_left_at, rate_at });
+                        self.instances.insert(i, Instance { policy, share_left_index, rate_index });
                     }
                     continue;
                 }
@@ -135,32 +136,34 @@
                     expires,
                 },
             ),
-            Input::Started { i, id, attempt, .. } => (i, Event::Started { id, attempt: u32::from(attempt) }),
+            Input::Started { i, id, attempt, .. } => {
+                (i, Event::StreamStarted { id, attempt: u32::from(attempt) })
+            }
             Input::Resolved { i, id, attempt, target, status, took, ended, wait_ms, feedback } => (
                 i,
-                Event::Outcome {
+                Event::AttemptEnded {
                     id,
                     attempt: u32::from(attempt),
                     target,
                     outcome: to_outcome(status)?,
                     took: u64::from(took),
-                    ended,
-                    wait: if status == 2 { u64::from(wait_ms) * 1000 } else { 0 },
+                    message_ended: ended,
+                    retry_after: if status == 2 { u64::from(wait_ms) * 1000 } else { 0 },
                     report: report(i, &feedback),
                 },
             ),
-            Input::Lapsed { i, id } => (i, Event::Lapsed { id }),
+            Input::Lapsed { i, id } => (i, Event::Abandoned { id }),
             Input::Wakeup { i, cookie } => (i, Event::Timer { token: cookie }),
             Input::Echo { i, target, status, took, feedback } => (
                 i,
-                Event::Probed {
+                Event::ProbeEnded {
                     target,
                     outcome: to_outcome(status)?,
                     took: u64::from(took),
                     report: report(i, &feedback),
                 },
             ),
-            Input::Peer { i, who, body } => (i, Event::Peer { from: who, data: body }),
+            Input::Peer { i, who, body } => (i, Event::PeerMessage { from: who, data: body }),
             Input::Born { .. } | Input::Down { .. } | Input::Roster { .. } => {
                 return Err(WireError("record does not carry a policy event".into()))
             }
