--- a/src/bin/foldtrack/calls.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -94,7 +94,7 @@
     let mut end = CallEnd { generation: call.generation, ..end };
     let Call { message, connection: idle, timeout_at, dial_timeout, address, reads_limit_reports, .. } = call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
-    let (reused, written) = (idle.is_some(), events.clone());
+    let (reused, event_sender) = (idle.is_some(), events.clone());
     // Once the request has been handed to the connection, only a response proves that it did not run.
     let mut status_line = None;
     let mut unused_connection = None;
@@ -102,7 +102,7 @@
         let mut connection = match idle {
             Some((_, connection)) => connection,
             None => {
-                let on_written = move |class| written.send(NodeEvent::MessageWritten { class });
+                let on_written = move |class| event_sender.send(NodeEvent::MessageWritten { class });
                 let Ok(Ok(connection)) =
                     timeout(dial_timeout, HttpConnection::open(address, on_written)).await
                 else {
@@ -110,10 +110,10 @@
                 };
                 // A lost packet delays connecting by a second. A drain or wait that arrived meanwhile applies to this
                 // call too, so the node is asked once more.
-                let (go, proceed) = oneshot::channel();
+                let (proceed, may_proceed) = oneshot::channel();
                 let (number, attempt, target) = (call.number, call.attempt, call.target);
-                events.send(NodeEvent::Connected { number, attempt, target, proceed: go });
-                if !proceed.await.unwrap_or(false) {
+                events.send(NodeEvent::Connected { number, attempt, target, proceed });
+                if !may_proceed.await.unwrap_or(false) {
                     unused_connection = Some(connection);
                     return Err(Outcome::NotSent);
                 }
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -170,14 +170,14 @@
         stream.set_nodelay(true)?;
         let pending_class = PendingClass::new(AtomicUsize::new(NOT_WRITING));
         let status_line = StatusLine::default();
-        let tap = CallObserver {
+        let observer = CallObserver {
             pending_class: pending_class.clone(),
             status_line: status_line.clone(),
             on_written,
         };
-        let tapped = ObservedStream { stream, observer: tap };
+        let observed = ObservedStream { stream, observer };
         let handshake =
-            http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(tapped)).await;
+            http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(observed)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         // The call in flight gets the error; between calls an error only closes the connection.
         let driver = tokio::spawn(async move { drop(connection.await) });
--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -48,18 +48,18 @@
         attempt: u32,
         target: TargetId,
         outcome: Outcome,
-        over: bool,
+        completes_message: bool,
         took: Duration,
         idle_for: Option<Duration>,
-        wait: Option<Duration>,
-        report: Option<LimitReport>,
+        retry_after: Option<Duration>,
+        limit_report: Option<LimitReport>,
     },
-    Answered {
+    ResponseEnded {
         number: u64,
         written: bool,
     },
     /// A message submitted on a client connection of the old process, and the number of that request.
-    HandIn {
+    Submit {
         request: u64,
         accepted: AcceptedMessage,
     },
@@ -69,7 +69,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum OwnerFrame {
     Cancel { number: u64, attempt: u32 },
-    TakenOn { request: u64, number: u64 },
+    Accepted { request: u64, number: u64 },
     Refused { request: u64, retry_in_ms: u64 },
 }
 
@@ -91,7 +91,7 @@
 /// A command of the owner to the old process.
 enum Command {
     Cancel { number: u64, attempt: u32 },
-    Answer { request: u64, answer: SubmitResponse },
+    Respond { request: u64, response: SubmitResponse },
 }
 
 impl PredecessorLink {
@@ -113,7 +113,7 @@
                 }
             });
         }
-        let mut receipts: BTreeMap<u64, ResponseGuard> = BTreeMap::new();
+        let mut response_guards: BTreeMap<u64, ResponseGuard> = BTreeMap::new();
         let (frames, mut received) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok(frame) = read_frame::<PredecessorFrame>(&mut reader).await {
@@ -128,12 +128,12 @@
                 Some(command) = commands.recv() => {
                     let frame = match command {
                         Command::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
-                        Command::Answer { request, answer: SubmitResponse::Accepted(receipt) } => {
-                            let number = receipt.number();
-                            receipts.insert(number, receipt);
-                            OwnerFrame::TakenOn { request, number }
+                        Command::Respond { request, response: SubmitResponse::Accepted(guard) } => {
+                            let number = guard.number();
+                            response_guards.insert(number, guard);
+                            OwnerFrame::Accepted { request, number }
                         }
-                        Command::Answer { request, answer: SubmitResponse::Refused { retry_in_ms } } =>
+                        Command::Respond { request, response: SubmitResponse::Refused { retry_in_ms } } =>
                             OwnerFrame::Refused { request, retry_in_ms },
                     };
                     // If the old process has ended, its side of the stream is closed too.
@@ -141,33 +141,42 @@
                 }
                 frame = received.recv() => match frame {
                     Some(PredecessorFrame::CallEnded {
-                        number, attempt, target, outcome, over, took, idle_for, wait, report,
+                        number,
+                        attempt,
+                        target,
+                        outcome,
+                        completes_message,
+                        took,
+                        idle_for,
+                        retry_after,
+                        limit_report,
                     }) => {
                         open_calls.remove(&(number, attempt));
                         let now = Instant::now();
                         events.send(NodeEvent::CallEnded(CallEnd {
                             started_at: now.checked_sub(took).unwrap_or(now),
-                            wait_until: wait.and_then(|wait| now.checked_add(wait)),
+                            wait_until: retry_after.and_then(|wait| now.checked_add(wait)),
                             idle_for,
-                            limit_report: report,
-                            ..CallEnd::new(number, attempt, target, outcome, over)
+                            limit_report,
+                            ..CallEnd::new(number, attempt, target, outcome, completes_message)
                         }));
                     }
-                    Some(PredecessorFrame::Answered { number, written }) => match receipts.remove(&number) {
-                        Some(mut receipt) => receipt.written = written,
-                        None => {
-                            responding.remove(&number);
-                            events.send(NodeEvent::ResponseEnded { number, written });
-                        }
-                    },
-                    Some(PredecessorFrame::HandIn { request, accepted }) => {
+                    Some(PredecessorFrame::ResponseEnded { number, written }) =>
+                        match response_guards.remove(&number) {
+                            Some(mut guard) => guard.written = written,
+                            None => {
+                                responding.remove(&number);
+                                events.send(NodeEvent::ResponseEnded { number, written });
+                            }
+                        },
+                    Some(PredecessorFrame::Submit { request, accepted }) => {
                         let message = Message::from_accepted(accepted, &settings, &clock);
-                        let (reply, answer) = oneshot::channel();
+                        let (reply, response) = oneshot::channel();
                         events.send(NodeEvent::Submit { message: Arc::new(message), reply });
                         let command_sender = command_sender.clone();
                         tokio::spawn(async move {
-                            if let Ok(answer) = answer.await {
-                                let _ = command_sender.send(Command::Answer { request, answer });
+                            if let Ok(response) = response.await {
+                                let _ = command_sender.send(Command::Respond { request, response });
                             }
                         });
                     }
@@ -178,7 +187,7 @@
         for ((number, attempt), target) in open_calls {
             events.send(NodeEvent::CallEnded(CallEnd::new(number, attempt, target, Outcome::Reset, false)));
         }
-        receipts.into_values().for_each(|mut receipt| receipt.written = true);
+        response_guards.into_values().for_each(|mut guard| guard.written = true);
         responding
             .into_iter()
             .for_each(|number| events.send(NodeEvent::ResponseEnded { number, written: true }));
@@ -196,13 +205,13 @@
 pub(crate) struct DrainingProcess {
     /// The sender that cancels each call, unless it has been used.
     pub calls: BTreeMap<(u64, u32), Option<oneshot::Sender<()>>>,
-    pub figures: Metrics,
-    pub pool: EndpointCounts,
+    pub metrics: Metrics,
+    pub endpoint_counts: EndpointCounts,
     pub events: EventSender,
     pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub stage: watch::Sender<LifecycleStage>,
-    pub places: ConnectionLimit,
+    pub connection_limit: ConnectionLimit,
     /// After a signal to terminate: when idle connections close, and by when the process has ended.
     pub close_idle_after: Duration,
     pub exit_within: Duration,
@@ -211,7 +220,7 @@
 /// Why the process ends.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ExitReason {
-    /// Nothing is left to do, or the time to terminate is over.
+    /// Nothing is left to do, or the time limit for terminating has passed.
     Completed,
     /// The successor has ended first: no process owns the write-ahead log.
     SuccessorLost,
@@ -242,18 +251,20 @@
         });
         let mut replies: BTreeMap<u64, oneshot::Sender<SubmitResponse>> = BTreeMap::new();
         let mut calls = std::mem::take(&mut self.calls);
-        let (mut last_request, mut terminated, mut next_check) = (0, None, Instant::now() + CHECK_INTERVAL);
+        let (mut last_request, mut terminated_at, mut next_check) =
+            (0, None, Instant::now() + CHECK_INTERVAL);
         let reason = loop {
             tokio::select! {
                 biased;
-                Some(input) = receiver.recv() => match input {
+                Some(event) = receiver.recv() => match event {
                     NodeEvent::Submit { message, reply } => {
                         last_request += 1;
                         replies.insert(last_request, reply);
                         let accepted = message.to_accepted(&self.settings, &self.clock);
-                        let _ = frame_sender.send(PredecessorFrame::HandIn { request: last_request, accepted });
+                        let _ = frame_sender
+                            .send(PredecessorFrame::Submit { request: last_request, accepted });
                     }
-                    NodeEvent::Terminate => terminated = terminated.or(Some(Instant::now())),
+                    NodeEvent::Terminate => terminated_at = terminated_at.or(Some(Instant::now())),
                     NodeEvent::CallEnded(end) => {
                         calls.remove(&(end.number, end.attempt));
                         let _ = frame_sender.send(call_ended_frame(end));
@@ -266,22 +277,25 @@
                         let cancel = calls.get_mut(&(number, attempt)).and_then(Option::take);
                         let _ = cancel.map(|cancel| cancel.send(()));
                     }
-                    Some(OwnerFrame::TakenOn { request, number }) => {
-                        // If the client has gone, the receipt is dropped here and says so.
-                        let answer = SubmitResponse::Accepted(ResponseGuard::new(number, self.events.clone()));
-                        let _ = replies.remove(&request).map(|reply| reply.send(answer));
+                    Some(OwnerFrame::Accepted { request, number }) => {
+                        // If the client has gone, the guard is dropped here, which reports it.
+                        let response =
+                            SubmitResponse::Accepted(ResponseGuard::new(number, self.events.clone()));
+                        let _ = replies.remove(&request).map(|reply| reply.send(response));
                     }
                     Some(OwnerFrame::Refused { request, retry_in_ms }) => {
-                        let answer = SubmitResponse::Refused { retry_in_ms };
-                        let _ = replies.remove(&request).map(|reply| reply.send(answer));
+                        let response = SubmitResponse::Refused { retry_in_ms };
+                        let _ = replies.remove(&request).map(|reply| reply.send(response));
                     }
-                    None if terminated.is_some() => break ExitReason::Completed,
+                    None if terminated_at.is_some() => break ExitReason::Completed,
                     None => break ExitReason::SuccessorLost,
                 },
                 () = sleep_until(next_check) => {
                     next_check = Instant::now() + CHECK_INTERVAL;
-                    let busy = !(calls.is_empty() && replies.is_empty() && self.places.in_use() == 0);
-                    let since_terminate = terminated.map_or(Duration::ZERO, |at: Instant| at.elapsed());
+                    let busy = !(calls.is_empty()
+                        && replies.is_empty()
+                        && self.connection_limit.in_use() == 0);
+                    let since_terminate = terminated_at.map_or(Duration::ZERO, |at: Instant| at.elapsed());
                     if !busy || since_terminate >= self.exit_within {
                         break ExitReason::Completed;
                     }
@@ -296,18 +310,18 @@
         Ok(reason)
     }
 
-    fn forward(&mut self, input: NodeEvent, frame_sender: &UnboundedSender<PredecessorFrame>) {
+    fn forward(&mut self, event: NodeEvent, frame_sender: &UnboundedSender<PredecessorFrame>) {
         // If the successor has ended, `run` notices it when it reads the next frame.
-        match input {
+        match event {
             NodeEvent::ResponseEnded { number, written } => {
-                let _ = frame_sender.send(PredecessorFrame::Answered { number, written });
+                let _ = frame_sender.send(PredecessorFrame::ResponseEnded { number, written });
             }
-            NodeEvent::MessageWritten { class } => self.figures.record_attempt(class),
-            NodeEvent::RefusedLate { class } => self.figures.record_result(class, MessageResult::Shed),
+            NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
+            NodeEvent::RefusedLate { class } => self.metrics.record_result(class, MessageResult::Shed),
             NodeEvent::Admin { request, reply } => {
                 let _ = reply.send(match request {
                     AdminRequest::Metrics => {
-                        AdminResponse::new(StatusCode::OK, self.figures.render(0, self.pool))
+                        AdminResponse::new(StatusCode::OK, self.metrics.render(0, self.endpoint_counts))
                     }
                     _ => {
                         AdminResponse::new(StatusCode::SERVICE_UNAVAILABLE, "a new version has taken over\n")
@@ -327,11 +341,11 @@
         attempt: end.attempt,
         target: end.target,
         outcome: end.outcome,
-        over: end.completes_message,
+        completes_message: end.completes_message,
         took: end.started_at.elapsed(),
         idle_for: end.idle_for,
-        wait: end.wait_until.map(|until| until.saturating_duration_since(Instant::now())),
-        report: end.limit_report,
+        retry_after: end.wait_until.map(|until| until.saturating_duration_since(Instant::now())),
+        limit_report: end.limit_report,
     }
 }
 
@@ -350,18 +364,18 @@
         let settings: Arc<DeploymentSettings> = Arc::new(serde_json::from_value(settings).unwrap());
         let mut process = DrainingProcess {
             calls: BTreeMap::new(),
-            figures: Metrics::new(&settings.class_names),
-            pool: EndpointCounts::default(),
+            metrics: Metrics::new(&settings.class_names),
+            endpoint_counts: EndpointCounts::default(),
             events: events::channel().0,
             settings,
             clock: Clock::new(),
             stage: watch::Sender::new(LifecycleStage::HandedOver),
-            places: ConnectionLimit::new(1),
+            connection_limit: ConnectionLimit::new(1),
             close_idle_after: Duration::ZERO,
             exit_within: Duration::ZERO,
         };
         process.forward(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
-        let text = process.figures.render(0, process.pool);
+        let text = process.metrics.render(0, process.endpoint_counts);
         assert!(text.contains("responses.note.shed=1"), "{text}");
     }
 }
--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -68,7 +68,7 @@
     pub acknowledged: bool,
     /// A send that the policy has decided on and that has not started: attempt, target, time of its timeout, time of
     /// the decision.
-    pub waiting: Option<(u32, TargetId, Micros, Micros)>,
+    pub pending_send: Option<(u32, TargetId, Micros, Micros)>,
 }
 
 /// The state that a successor needs beside the write-ahead log.
@@ -278,7 +278,10 @@
                     Err(error) => eprintln!("upgrade: {error}"),
                 },
                 Ok(Ok(successor_format)) => {
-                    eprintln!("upgrade: state format of the successor differs: {successor_format}, expected {format}; terminating");
+                    eprintln!(
+                        "upgrade: state format of the successor differs: {successor_format}, expected {format}; \
+                         terminating"
+                    );
                     events.send(NodeEvent::Terminate);
                 }
                 Ok(Err(error)) => eprintln!("upgrade: {error}"),
--- a/src/bin/foldtrack/node/takeover.rs
+++ b/src/bin/foldtrack/node/takeover.rs
@@ -22,17 +22,17 @@
 impl Node {
     /// Continues where another process stops. On an error the other process stays the owner.
     pub(super) fn take_over(
-        config: &Config, inputs: &EventSender, offer: TakeoverOffer,
+        config: &Config, events: &EventSender, offer: TakeoverOffer,
     ) -> io::Result<(Node, StdListener)> {
         let settings = config.settings.settings.clone();
         let policy = DeliveryPolicy::import_state(&offer.state.policy, settings).map_err(io::Error::other)?;
         let clock = Clock::resume(offer.state.clock_now, offer.state.unix_now);
-        let (mut node, restored) = Node::new(config, inputs, clock, policy)?;
+        let (mut node, restored) = Node::new(config, events, clock, policy)?;
         let (state, lock, listener, stream) = offer.accept()?;
         node.lock = Some(lock);
         let reserved_connections = node.connection_limit.reserve(state.client_connections);
         let (calls, responding) = node.adopt_state(state, restored);
-        let (events, settings) = (inputs.clone(), config.settings.clone());
+        let (events, settings) = (events.clone(), config.settings.clone());
         let predecessor =
             PredecessorLink { events, settings, calls, responding, reserved_connections, clock };
         tokio::spawn(async move {
@@ -50,12 +50,12 @@
     ) -> (Vec<InheritedCall>, BTreeSet<u64>) {
         self.next_number = self.next_number.max(state.next_number);
         self.timers = state.timers.into_iter().collect();
-        for (name, address, zone, era) in state.endpoints {
+        for (name, address, zone, generation) in state.endpoints {
             self.target_ids.insert(name, self.endpoints.len() as TargetId);
-            self.endpoints.push(KnownEndpoint { address, zone, generation: era });
+            self.endpoints.push(KnownEndpoint { address, zone, generation });
         }
         let mut responding = BTreeSet::new();
-        for MessageState { number, attempts, acknowledged, waiting } in state.messages {
+        for MessageState { number, attempts, acknowledged, pending_send } in state.messages {
             let Some(restored_message) = restored.remove(&number) else {
                 // An error that was logged kept it out of the write-ahead log: it cannot be sent.
                 self.notify_policy(Event::Abandoned { id: number });
@@ -65,23 +65,21 @@
                 Arc::new(Message::from_accepted(restored_message.accepted, &self.settings, &self.clock));
             let acceptance = if acknowledged { Acceptance::Accepted } else { Acceptance::Responding };
             responding.extend((!acknowledged).then_some(number));
-            let waiting = waiting.map(|(attempt, target, until, decided)| PendingSend {
+            let pending_send = pending_send.map(|(attempt, target, until, decided_at)| PendingSend {
                 attempt,
                 target,
                 until,
-                decided_at: decided,
+                decided_at,
             });
-            self.messages
-                .insert(number, HeldMessage { message, acceptance, attempts, pending_send: waiting });
+            self.messages.insert(number, HeldMessage { message, acceptance, attempts, pending_send });
         }
         // The other messages have ended, and their notices are not acknowledged yet.
         for (number, message) in restored {
             self.restore(number, message);
         }
-        let inherited = |(number, attempt, target, begun): (u64, u32, TargetId, bool)| {
+        let inherited = |(number, attempt, target, started): (u64, u32, TargetId, bool)| {
             let (cancel, cancelled) = oneshot::channel();
-            self.calls
-                .insert((number, attempt), InFlightCall { target, cancel: Some(cancel), started: begun });
+            self.calls.insert((number, attempt), InFlightCall { target, cancel: Some(cancel), started });
             (number, attempt, target, cancelled)
         };
         (state.calls.into_iter().map(inherited).collect(), responding)
@@ -97,13 +95,16 @@
             number: *number,
             attempts: held.attempts,
             acknowledged: matches!(held.acceptance, Acceptance::Accepted),
-            waiting: held.pending_send.as_ref().map(|w| (w.attempt, w.target, w.until, w.decided_at)),
+            pending_send: held
+                .pending_send
+                .as_ref()
+                .map(|send| (send.attempt, send.target, send.until, send.decided_at)),
         };
         let named = |(name, target): (&String, &TargetId)| {
-            let KnownEndpoint { address, zone, generation: era } = self.endpoints[*target as usize];
-            (*target, (name.clone(), address, zone, era))
+            let KnownEndpoint { address, zone, generation } = self.endpoints[*target as usize];
+            (*target, (name.clone(), address, zone, generation))
         };
-        let servers: BTreeMap<_, _> = self.target_ids.iter().map(named).collect();
+        let endpoints: BTreeMap<_, _> = self.target_ids.iter().map(named).collect();
         let state = TakeoverState {
             clock_now,
             unix_now: self.clock.unix_micros_at(clock_now),
@@ -113,9 +114,9 @@
             calls: self
                 .calls
                 .iter()
-                .map(|((number, attempt), out)| (*number, *attempt, out.target, out.started))
+                .map(|((number, attempt), call)| (*number, *attempt, call.target, call.started))
                 .collect(),
-            endpoints: servers.into_values().collect(),
+            endpoints: endpoints.into_values().collect(),
             timers: self.timers.iter().copied().collect(),
             client_connections: self.connection_limit.in_use(),
         };
@@ -127,14 +128,14 @@
     pub(super) fn into_draining_process(self) -> DrainingProcess {
         self.stage.send_replace(LifecycleStage::HandedOver);
         DrainingProcess {
-            calls: self.calls.into_iter().map(|(call, out)| (call, out.cancel)).collect(),
-            figures: self.metrics,
-            pool: self.policy.endpoint_counts(),
+            calls: self.calls.into_iter().map(|(key, call)| (key, call.cancel)).collect(),
+            metrics: self.metrics,
+            endpoint_counts: self.policy.endpoint_counts(),
             events: self.events,
             settings: self.settings,
             clock: self.clock,
             stage: self.stage,
-            places: self.connection_limit,
+            connection_limit: self.connection_limit,
             close_idle_after: ACCEPT_AFTER_TERMINATE,
             exit_within: TERMINATE_TIMEOUT,
         }
--- a/src/bin/hatchline-adapter/wire_tests.rs
+++ b/src/bin/hatchline-adapter/wire_tests.rs
@@ -85,7 +85,10 @@
                 "0b 32000000 0000 02000000 074a1203 00 0000 3900 03 0000803f 0000000000000000
                  f211902c 00 0000 3900 03 0000c03f 20145d0000000000",
             ),
-            Input::Roster { sheet: 0, items: vec![entry(0x03124a07, 1.0, 0), entry(0x2c9011f2, 1.5, 0x5d1420)] },
+            Input::Roster {
+                sheet: 0,
+                items: vec![entry(0x03124a07, 1.0, 0), entry(0x2c9011f2, 1.5, 0x5d1420)],
+            },
         ),
     ]
 }
