--- a/src/bin/foldtrack/calls.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -72,6 +72,7 @@
 
 /// The parameters of one call.
 pub(crate) struct Call {
+    /// Number of the message in the order of arrival.
     pub number: u64,
     pub attempt: u32,
     pub target: TargetId,
@@ -94,7 +95,7 @@
     let mut end = CallEnd { generation: call.generation, ..end };
     let Call { message, connection: idle, timeout_at, dial_timeout, address, reads_limit_reports, .. } = call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
-    let (reused, event_sender) = (idle.is_some(), events.clone());
+    let (reused, written_events) = (idle.is_some(), events.clone());
     // Once the request has been handed to the connection, only a response proves that it did not run.
     let mut status_line = None;
     let mut unused_connection = None;
@@ -102,7 +103,7 @@
         let mut connection = match idle {
             Some((_, connection)) => connection,
             None => {
-                let on_written = move |class| event_sender.send(NodeEvent::MessageWritten { class });
+                let on_written = move |class| written_events.send(NodeEvent::MessageWritten { class });
                 let Ok(Ok(connection)) =
                     timeout(dial_timeout, HttpConnection::open(address, on_written)).await
                 else {
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -103,7 +103,7 @@
         line.extend_from_slice(&bytes[..end.min(free)]);
     }
 
-    /// Whether the status is 200.
+    /// Whether the line is complete and its status is 200.
     pub fn is_ok(&self) -> bool {
         let line = self.bytes();
         let mut parts = line.split(|b| b.is_ascii_whitespace());
--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -62,6 +62,7 @@
 /// State of a held message that the write-ahead log does not contain.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct MessageState {
+    /// Number of the message in the order of arrival.
     pub number: u64,
     pub attempts: u32,
     /// Whether its client has been told that it is accepted.
@@ -79,6 +80,7 @@
     pub unix_now: Micros,
     /// Exported state of the policy.
     pub policy: Vec<u8>,
+    /// Number of the next message.
     pub next_number: u64,
     pub messages: Vec<MessageState>,
     /// Calls that the old process completes: message number, attempt, target, and whether the start of the attempt is
--- a/src/bin/foldtrack/report_client.rs
+++ b/src/bin/foldtrack/report_client.rs
@@ -22,7 +22,7 @@
 /// its message: if a connection is lost, the next one has to be made within that time.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_REPORT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Reports in flight at once.
+/// Maximum number of reports in flight.
 const MAX_REPORTS_IN_FLIGHT: usize = 8;
 /// Delay before a report that failed is sent again.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -74,7 +74,7 @@
 /// themselves.
 type IdleConnection = Arc<Mutex<Option<(SocketAddr, ReportConnection)>>>;
 
-fn idle_connection(slot: &IdleConnection) -> MutexGuard<'_, Option<(SocketAddr, ReportConnection)>> {
+fn lock_idle_connection(slot: &IdleConnection) -> MutexGuard<'_, Option<(SocketAddr, ReportConnection)>> {
     // Each change is an assignment: a panic elsewhere leaves it consistent.
     slot.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -97,7 +97,8 @@
         self.in_flight.len() < MAX_REPORTS_IN_FLIGHT
     }
 
-    /// Sends notices, one JSON object per line, until they are acknowledged.
+    /// Sends notices, one JSON object per line, until they are acknowledged. `numbers` are the numbers of their
+    /// messages.
     pub fn send(&mut self, lines: String, numbers: Vec<u64>) {
         let (slot, discovery) = (self.idle_connection.clone(), self.discovery.clone());
         self.in_flight.push(Box::pin(async move {
@@ -126,7 +127,7 @@
 async fn post(address: SocketAddr, lines: Bytes, slot: &IdleConnection) -> Option<StatusCode> {
     loop {
         // A connection to another address is closed.
-        let idle = idle_connection(slot).take().filter(|(to, _)| *to == address);
+        let idle = lock_idle_connection(slot).take().filter(|(to, _)| *to == address);
         let reused = idle.is_some();
         let mut connection = match idle {
             Some((_, connection)) => connection,
@@ -136,7 +137,7 @@
         let request = request.header(CONTENT_TYPE, "application/json").body(Full::new(lines.clone())).ok()?;
         match connection.call(request).await {
             Some((status, usable)) => {
-                *idle_connection(slot) = usable.then_some((address, connection));
+                *lock_idle_connection(slot) = usable.then_some((address, connection));
                 return Some(status);
             }
             // The connection was closed while it was idle.
--- a/src/bin/foldtrack/report_client_tests.rs
+++ b/src/bin/foldtrack/report_client_tests.rs
@@ -52,7 +52,7 @@
     let (_discovery, address_receiver) = watch::channel(listener.local_addr().unwrap());
     let mut reports = ReportClient::new(address_receiver);
     let address = listener.local_addr().unwrap();
-    *idle_connection(&reports.idle_connection) =
+    *lock_idle_connection(&reports.idle_connection) =
         Some((address, ReportConnection::open(address).await.unwrap()));
     let mut agent = listener.accept().unwrap().0;
     agent.set_read_timeout(Some(TIMEOUT)).unwrap();
--- a/src/bin/foldtrack/write_ahead_log.rs
+++ b/src/bin/foldtrack/write_ahead_log.rs
@@ -167,6 +167,7 @@
         true
     }
 
+    /// Appends a record of the message with this number. Compacts the file first if that is due.
     pub fn append(&mut self, number: u64, record: &LogRecord) -> io::Result<()> {
         let frame = encode(number, record)?;
         let length = self.length + frame.len() as u64;
--- a/src/bin/hatchline-adapter/wire.rs
+++ b/src/bin/hatchline-adapter/wire.rs
@@ -31,7 +31,8 @@
     pub launched: u64,
 }
 
-/// An event record of a batch. Variants and fields have the names of the published protocol.
+/// An event record of a batch. Variants and fields have the names of the published protocol; `i` is the number of the
+/// instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     Born {
@@ -103,7 +104,8 @@
     },
 }
 
-/// An action record of a reply. Variants and fields have the names of the published protocol.
+/// An action record of a reply. Variants and fields have the names of the published protocol; `i` is the number of
+/// the instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Forward { i: u16, id: u64, not_past: u64, target: u32 },
