--- a/scale/src/range.rs
+++ b/scale/src/bounded_integer.rs
@@ -6,13 +6,13 @@
 /// A whole number of at least `MIN` and at most `MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
-pub struct Bounded<const MIN: u64, const MAX: u64>(u64);
+pub struct BoundedInteger<const MIN: u64, const MAX: u64>(u64);
 
-impl<const MIN: u64, const MAX: u64> Bounded<MIN, MAX> {
+impl<const MIN: u64, const MAX: u64> BoundedInteger<MIN, MAX> {
     /// The number, if it is in range; otherwise why not.
     pub fn new(number: i128) -> Result<Self, String> {
         let in_range = u64::try_from(number).ok().filter(|number| (MIN..=MAX).contains(number));
-        in_range.map(Bounded).ok_or_else(|| format!("{number} is out of range, {MIN} to {MAX}"))
+        in_range.map(BoundedInteger).ok_or_else(|| format!("{number} is out of range, {MIN} to {MAX}"))
     }
 
     /// The number.
@@ -21,18 +21,18 @@
     }
 }
 
-impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Bounded<MIN, MAX> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for BoundedInteger<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let number = i64::deserialize(deserializer)?;
-        Bounded::new(number.into()).map_err(de::Error::custom)
+        BoundedInteger::new(number.into()).map_err(de::Error::custom)
     }
 }
 
-impl<const MIN: u64, const MAX: u64> FromStr for Bounded<MIN, MAX> {
+impl<const MIN: u64, const MAX: u64> FromStr for BoundedInteger<MIN, MAX> {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
         let number: i128 = text.parse().map_err(|_| format!("{text:?} is no whole number"))?;
-        Bounded::new(number)
+        BoundedInteger::new(number)
     }
 }
--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -1,6 +1,6 @@
 //! The deployment that experiments share: classes of messages, contract, and the policy's settings from both.
 
-use crate::range::Bounded;
+use crate::bounded_integer::BoundedInteger;
 use hatchline::{Class, DestinationContract, ListedRate, Micros, RetrySafety, Settings};
 use serde::{Deserialize, Serialize};
 
@@ -14,9 +14,9 @@
 const DAY_MS: u64 = 86_400_000;
 
 /// A span in milliseconds, perhaps none.
-pub type Milliseconds = Bounded<0, DAY_MS>;
+pub type Milliseconds = BoundedInteger<0, DAY_MS>;
 /// A span in milliseconds.
-pub type PositiveMilliseconds = Bounded<1, DAY_MS>;
+pub type PositiveMilliseconds = BoundedInteger<1, DAY_MS>;
 
 /// A class of messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/scale/src/discovery/propagation.rs
+++ b/scale/src/discovery/propagation.rs
@@ -56,7 +56,7 @@
     pub fn new(instances: usize) -> Result<Propagation, ScaleError> {
         let longest = HISTOGRAM_MAX.as_micros() as u64;
         let delays = Histogram::new_with_max(longest, HISTOGRAM_DIGITS)
-            .map_err(|error| ScaleError::Run(format!("histogram: {error}")))?;
+            .map_err(|error| ScaleError::RunFailed(format!("histogram: {error}")))?;
         let stopped = Progress { version: FIRST_VERSION, running_since: None };
         let state = State { changes: Vec::new(), instances: vec![stopped; instances], delays, late: 0 };
         Ok(Propagation(Arc::new(Mutex::new(state))))
--- a/scale/src/discovery/run.rs
+++ b/scale/src/discovery/run.rs
@@ -45,7 +45,7 @@
         .enable_time()
         .start_paused(true)
         .build()
-        .map_err(|error| ScaleError::Run(error.to_string()))?;
+        .map_err(|error| ScaleError::RunFailed(error.to_string()))?;
     runtime.block_on(async {
         let simulation = Simulation::new(scenario, point, seed)?;
         Ok(simulation.run(interrupt).await.ok())
--- a/scale/src/discovery/settings.rs
+++ b/scale/src/discovery/settings.rs
@@ -1,19 +1,19 @@
 //! The scenario of `scale discovery`: its keys and their ranges.
 
-use crate::range::Bounded;
+use crate::bounded_integer::BoundedInteger;
 use hatchline::discovery::DiscoveryMode;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
 
 /// A number of simulated instances.
-pub(super) type InstanceCount = Bounded<1, 100_000>;
+pub(super) type InstanceCount = BoundedInteger<1, 100_000>;
 /// A span in seconds, perhaps none.
-type Seconds = Bounded<0, 86_400>;
+type Seconds = BoundedInteger<0, 86_400>;
 /// A span in seconds.
-type PositiveSeconds = Bounded<1, 86_400>;
+type PositiveSeconds = BoundedInteger<1, 86_400>;
 /// A short span in milliseconds.
-type Milliseconds = Bounded<0, 60_000>;
+type Milliseconds = BoundedInteger<0, 60_000>;
 
 /// A scenario file.
 #[derive(Clone, Debug, Deserialize)]
@@ -21,8 +21,8 @@
 pub(super) struct DiscoveryScenario {
     pub seed: u64,
     pub instances: Vec<InstanceCount>,
-    pub listed: Bounded<1, 1_000_000>,
-    pub zones: Bounded<1, 1_000>,
+    pub listed: BoundedInteger<1, 1_000_000>,
+    pub zones: BoundedInteger<1, 1_000>,
     pub mode: ModeName,
     pub network: NetworkSettings,
     pub server: ServerSettings,
@@ -62,19 +62,19 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ServerSettings {
-    pub new_watches_per_second: Bounded<1, 1_000_000>,
-    pub answers_at_once: Bounded<1, 1_000_000>,
+    pub new_watches_per_second: BoundedInteger<1, 1_000_000>,
+    pub answers_at_once: BoundedInteger<1, 1_000_000>,
     pub answer_ms: Milliseconds,
-    pub entry_us: Bounded<0, 1_000_000>,
-    pub history: Bounded<0, 1_000_000>,
+    pub entry_us: BoundedInteger<0, 1_000_000>,
+    pub history: BoundedInteger<0, 1_000_000>,
 }
 
 /// How often the list changes.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ChangeSettings {
-    pub per_day: Bounded<1, 1_000_000_000>,
-    pub factor: Bounded<1, 100_000>,
+    pub per_day: BoundedInteger<1, 1_000_000_000>,
+    pub factor: BoundedInteger<1, 100_000>,
 }
 
 /// The parts of a run.
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RollingRestartSettings {
-    pub steps: Bounded<1, 1_000>,
+    pub steps: BoundedInteger<1, 1_000>,
     pub step_s: Spanned<PositiveSeconds>,
     pub down_ms: Milliseconds,
 }
@@ -113,11 +113,11 @@
 }
 
 /// A span of whole seconds.
-pub(super) fn seconds<const MIN: u64, const MAX: u64>(span: Bounded<MIN, MAX>) -> Duration {
+pub(super) fn seconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
     Duration::from_secs(span.get())
 }
 
 /// A span of whole milliseconds.
-pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(span: Bounded<MIN, MAX>) -> Duration {
+pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
     Duration::from_millis(span.get())
 }
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -37,7 +37,7 @@
     },
     /// The process of one run could not be started, or broke off.
     #[error("a run failed: {0}")]
-    Run(String),
+    RunFailed(String),
     /// Runs with the same seed made different decisions.
     #[error("runs with the same seed differ: {first} and {other}")]
     NotReproducible {
--- a/scale/src/fleet/arguments.rs
+++ b/scale/src/fleet/arguments.rs
@@ -1,13 +1,13 @@
 //! Arguments of `scale fleet`.
 
 use crate::arguments::CommonArguments;
+use crate::bounded_integer::BoundedInteger;
 use crate::fleet::plan::Case;
 use crate::fleet::settings::FleetSize;
-use crate::range::Bounded;
 use clap::Args;
 
 /// Points that are simulated at the same time.
-pub(super) type ThreadCount = Bounded<1, 4>;
+pub(super) type ThreadCount = BoundedInteger<1, 4>;
 
 /// Arguments of `scale fleet`.
 #[derive(Debug, Args)]
--- a/scale/src/fleet/figures.rs
+++ b/scale/src/fleet/figures.rs
@@ -6,7 +6,7 @@
 use crate::fleet::plan::Point;
 use crate::fleet::settings::{micros, FleetScenario};
 use crate::fleet::simulation::Phases;
-use crate::statistics::Spread;
+use crate::statistics::SampleSummary;
 use hatchline::Micros;
 use serde::Serialize;
 use std::ops::Range;
@@ -25,7 +25,7 @@
     /// Share of all pairs of a replica and a sampled destination that have met.
     pub pairs_met_share: f64,
     /// Answers of the pairs that have met; none where no pair has.
-    pub answers_of_pairs_met: Option<Spread>,
+    pub answers_of_pairs_met: Option<SampleSummary>,
     /// Share of all pairs whose measured time-out is trusted.
     pub pairs_trusted_share: f64,
     /// Span in which a pair gets as many answers as that takes, at the mean rate of the phase; none without answers.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct OutageFigures {
     /// Calls to a destination while it was down.
-    pub calls_while_down: Option<Spread>,
+    pub calls_while_down: Option<SampleSummary>,
     /// Messages that arrived for a destination meanwhile, on the mean.
     pub arrivals_while_down: f64,
     /// The worst window since the return, of those that count against the fleet.
@@ -125,7 +125,7 @@
     let per_pair_and_second = total / pairs / scenario.phases.steady_s.get() as f64;
     SteadyFigures {
         pairs_met_share: answers.len() as f64 / pairs,
-        answers_of_pairs_met: Spread::of(answers.iter().map(|answers| f64::from(*answers))),
+        answers_of_pairs_met: SampleSummary::from_values(answers.iter().map(|answers| f64::from(*answers))),
         pairs_trusted_share: trusted as f64 / pairs,
         seconds_until_trusted: (total > 0.0).then(|| f64::from(TRUSTED_ANSWERS) / per_pair_and_second),
         within_aim_share: deliveries.within_aim(phases.start..phases.outage),
@@ -143,7 +143,7 @@
     let calls = observations.destinations.iter().map(|log| log.calls_while_down as f64);
     let outage_s = scenario.phases.outage_s.get() as f64;
     OutageFigures {
-        calls_while_down: Spread::of(calls),
+        calls_while_down: SampleSummary::from_values(calls),
         arrivals_while_down: scenario.traffic.events_per_second_per_destination() * outage_s,
         worst_window: worst(|windows| windows.counted),
         worst_window_of_any: worst(|windows| windows.any),
--- a/scale/src/fleet/results.rs
+++ b/scale/src/fleet/results.rs
@@ -3,8 +3,8 @@
 use crate::fleet::cold_budget::WindowLoad;
 use crate::fleet::figures::Figures;
 use crate::fleet::plan::{Case, Point};
-use crate::report::{number_cell, spread_cell, table};
-use crate::statistics::Spread;
+use crate::report::{number_cell, summary_cell, table};
+use crate::statistics::SampleSummary;
 use serde::Serialize;
 
 /// Name of the experiment in its records.
@@ -105,6 +105,6 @@
     number.map_or_else(|| NONE.to_owned(), number_cell)
 }
 
-fn optional_spread_cell(spread: Option<Spread>) -> String {
-    spread.map_or_else(|| NONE.to_owned(), spread_cell)
+fn optional_spread_cell(spread: Option<SampleSummary>) -> String {
+    spread.map_or_else(|| NONE.to_owned(), summary_cell)
 }
--- a/scale/src/fleet/settings.rs
+++ b/scale/src/fleet/settings.rs
@@ -1,17 +1,17 @@
 //! The scenario of `scale fleet`: its keys and their ranges.
 
+use crate::bounded_integer::BoundedInteger;
 use crate::deployment::{ClassSettings, Deployment, SECOND};
-use crate::range::Bounded;
 use hatchline::{Micros, Settings};
 use serde::Deserialize;
 use std::slice;
 
 /// A number of replicas.
-pub(super) type FleetSize = Bounded<1, 100_000>;
+pub(super) type FleetSize = BoundedInteger<1, 100_000>;
 /// A span in seconds, an hour at most.
-type Seconds = Bounded<1, 3_600>;
+type Seconds = BoundedInteger<1, 3_600>;
 /// The time of an answer in milliseconds.
-type AnswerMilliseconds = Bounded<1, 60_000>;
+type AnswerMilliseconds = BoundedInteger<1, 60_000>;
 
 /// A scenario file.
 #[derive(Clone, Debug, Deserialize)]
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetPolicySettings {
-    pub slots: Bounded<1, 1_000_000>,
-    pub max_attempts: Bounded<1, 1_000>,
-    pub max_held: Bounded<1, 2_000_000_000>,
+    pub slots: BoundedInteger<1, 1_000_000>,
+    pub max_attempts: BoundedInteger<1, 1_000>,
+    pub max_held: BoundedInteger<1, 2_000_000_000>,
     pub class: ClassSettings,
 }
 
@@ -39,16 +39,16 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct TrafficSettings {
-    pub events_per_second_per_replica: Bounded<1, 1_000_000>,
-    pub destinations_per_replica: Bounded<1, 1_000_000>,
-    pub sampled_destinations: Bounded<1, 10_000>,
+    pub events_per_second_per_replica: BoundedInteger<1, 1_000_000>,
+    pub destinations_per_replica: BoundedInteger<1, 1_000_000>,
+    pub sampled_destinations: BoundedInteger<1, 10_000>,
 }
 
 /// Each of the sampled destinations.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DestinationSettings {
-    pub capacity_per_second: Bounded<1, 1_000_000>,
+    pub capacity_per_second: BoundedInteger<1, 1_000_000>,
     pub is_capacity_listed: bool,
     pub service_time_ms: AnswerMilliseconds,
     pub refusal_time_ms: AnswerMilliseconds,
--- a/scale/src/instance/results.rs
+++ b/scale/src/instance/results.rs
@@ -2,8 +2,8 @@
 
 use crate::instance::plan::{Point, Series};
 use crate::instance::run::RunMeasurement;
-use crate::report::{spread_cell, table};
-use crate::statistics::{slope_over_runs, Spread, MIN_RUNS_FOR_SLOPES};
+use crate::report::{summary_cell, table};
+use crate::statistics::{slope_over_runs, SampleSummary, MIN_RUNS_FOR_SLOPES};
 use serde::Serialize;
 use std::path::Path;
 use std::time::Duration;
@@ -61,22 +61,22 @@
 /// Figures of a point over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct PointSummary {
-    ready_milliseconds: Spread,
-    list_milliseconds: Spread,
-    resident_bytes: Spread,
-    idle_microseconds_per_second: Spread,
-    request_microseconds: Spread,
+    ready_milliseconds: SampleSummary,
+    list_milliseconds: SampleSummary,
+    resident_bytes: SampleSummary,
+    idle_microseconds_per_second: SampleSummary,
+    request_microseconds: SampleSummary,
 }
 
 /// Least-squares slopes of a series, over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Slopes {
     runs: usize,
-    ready_microseconds: Spread,
-    list_microseconds: Spread,
-    resident_bytes: Spread,
-    idle_nanoseconds_per_second: Spread,
-    request_nanoseconds: Spread,
+    ready_microseconds: SampleSummary,
+    list_microseconds: SampleSummary,
+    resident_bytes: SampleSummary,
+    idle_nanoseconds_per_second: SampleSummary,
+    request_nanoseconds: SampleSummary,
 }
 
 impl PointResult {
@@ -111,8 +111,8 @@
         })
     }
 
-    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<Spread> {
-        Spread::of(self.runs.iter().map(figure))
+    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+        SampleSummary::from_values(self.runs.iter().map(figure))
     }
 }
 
@@ -143,11 +143,11 @@
         result.point.held.to_string(),
         result.point.processes.to_string(),
         result.runs.len().to_string(),
-        spread_cell(summary.ready_milliseconds),
-        spread_cell(summary.list_milliseconds),
-        spread_cell(summary.resident_bytes.scaled(1.0 / BYTES_PER_MEBIBYTE)),
-        spread_cell(summary.idle_microseconds_per_second),
-        spread_cell(summary.request_microseconds),
+        summary_cell(summary.ready_milliseconds),
+        summary_cell(summary.list_milliseconds),
+        summary_cell(summary.resident_bytes.scaled(1.0 / BYTES_PER_MEBIBYTE)),
+        summary_cell(summary.idle_microseconds_per_second),
+        summary_cell(summary.request_microseconds),
     ])
 }
 
@@ -181,11 +181,11 @@
     let rows = slopes.iter().map(|(series, slopes)| {
         vec![
             series.to_string(),
-            spread_cell(slopes.ready_microseconds),
-            spread_cell(slopes.list_microseconds),
-            spread_cell(slopes.resident_bytes),
-            spread_cell(slopes.idle_nanoseconds_per_second),
-            spread_cell(slopes.request_nanoseconds),
+            summary_cell(slopes.ready_microseconds),
+            summary_cell(slopes.list_microseconds),
+            summary_cell(slopes.resident_bytes),
+            summary_cell(slopes.idle_nanoseconds_per_second),
+            summary_cell(slopes.request_nanoseconds),
         ]
     });
     table(&header, rows)
--- a/scale/src/instance/run.rs
+++ b/scale/src/instance/run.rs
@@ -13,7 +13,7 @@
 use crate::instance::plan::{Plan, Point, Series};
 use crate::instance::settings::milliseconds;
 use crate::interrupt::Interrupt;
-use crate::process::{processor_time, resident_bytes};
+use crate::process_usage::{cpu_time, resident_bytes};
 use bytes::Bytes;
 use std::io;
 use std::net::SocketAddr;
@@ -354,7 +354,7 @@
 fn total_processor_time(forwarders: &[Forwarder]) -> Result<Duration, InstanceError> {
     let mut total = Duration::ZERO;
     for forwarder in forwarders {
-        total += processor_time(forwarder.process_id())?;
+        total += cpu_time(forwarder.process_id())?;
     }
     Ok(total)
 }
--- a/scale/src/instance/settings.rs
+++ b/scale/src/instance/settings.rs
@@ -1,26 +1,26 @@
 //! The scenario of `scale instance`: its keys and their ranges.
 
-use crate::range::Bounded;
+use crate::bounded_integer::BoundedInteger;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
 
 /// A number of destinations listed.
-pub(super) type ListedCount = Bounded<1, 1_000_000>;
+pub(super) type ListedCount = BoundedInteger<1, 1_000_000>;
 /// A number of messages held.
-pub(super) type HeldCount = Bounded<0, 1_000_000>;
+pub(super) type HeldCount = BoundedInteger<0, 1_000_000>;
 /// A number of processes side by side.
-pub(super) type ProcessCount = Bounded<1, 200>;
+pub(super) type ProcessCount = BoundedInteger<1, 200>;
 /// A number of runs.
-pub(super) type RunCount = Bounded<1, 1_000>;
+pub(super) type RunCount = BoundedInteger<1, 1_000>;
 /// A number of requests.
-type RequestCount = Bounded<1, 1_000_000>;
+type RequestCount = BoundedInteger<1, 1_000_000>;
 /// A number of destinations beside those that are only listed.
-type UsedCount = Bounded<1, 10_000>;
+type UsedCount = BoundedInteger<1, 10_000>;
 /// A span in milliseconds, perhaps none.
-type Milliseconds = Bounded<0, 600_000>;
+type Milliseconds = BoundedInteger<0, 600_000>;
 /// A span in milliseconds.
-type PositiveMilliseconds = Bounded<1, 600_000>;
+type PositiveMilliseconds = BoundedInteger<1, 600_000>;
 
 /// A scenario file.
 #[derive(Clone, Debug, Deserialize)]
@@ -39,12 +39,12 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ForwarderSettings {
-    pub slots: Bounded<1, 1_000_000>,
-    pub max_attempts: Bounded<1, 1_000>,
-    pub max_open: Bounded<1, 2_000_000_000>,
-    pub listed_rate: Bounded<1, 1_000_000_000>,
-    pub sockets: Bounded<16, 1_000_000>,
-    pub disk_mb: Bounded<1, 100_000>,
+    pub slots: BoundedInteger<1, 1_000_000>,
+    pub max_attempts: BoundedInteger<1, 1_000>,
+    pub max_open: BoundedInteger<1, 2_000_000_000>,
+    pub listed_rate: BoundedInteger<1, 1_000_000_000>,
+    pub sockets: BoundedInteger<16, 1_000_000>,
+    pub disk_mb: BoundedInteger<1, 100_000>,
 }
 
 /// What is measured, and with which traffic.
@@ -52,8 +52,8 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct Workload {
     pub active: UsedCount,
-    pub connections: Bounded<1, 1_000>,
-    pub body_bytes: Bounded<0, 65_536>,
+    pub connections: BoundedInteger<1, 1_000>,
+    pub body_bytes: BoundedInteger<0, 65_536>,
     pub service_time_ms: Milliseconds,
     pub settle_ms: Milliseconds,
     pub idle_ms: PositiveMilliseconds,
@@ -88,6 +88,6 @@
 }
 
 /// A span of so many milliseconds.
-pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(number: Bounded<MIN, MAX>) -> Duration {
+pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(number: BoundedInteger<MIN, MAX>) -> Duration {
     Duration::from_millis(number.get())
 }
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -4,6 +4,7 @@
 //! [`cli::Command`]. The other modules are what all experiments share.
 
 pub mod arguments;
+pub mod bounded_integer;
 pub mod call;
 pub mod cli;
 pub mod clock;
@@ -17,10 +18,10 @@
 pub mod memory;
 pub mod policy;
 pub mod policy_under_test;
-pub mod process;
+pub mod process_usage;
 pub mod progress;
 pub mod provenance;
-pub mod range;
+
 pub mod report;
 pub mod scenario;
 pub mod service_time;
--- a/scale/src/policy/results.rs
+++ b/scale/src/policy/results.rs
@@ -4,8 +4,8 @@
 use crate::policy::plan::{Point, Series};
 use crate::policy::run::RunMeasurement;
 use crate::policy::simulation::Counts;
-use crate::report::{spread_cell, table};
-use crate::statistics::{slope_over_runs, Spread, MIN_RUNS_FOR_SLOPES};
+use crate::report::{summary_cell, table};
+use crate::statistics::{slope_over_runs, SampleSummary, MIN_RUNS_FOR_SLOPES};
 use serde::Serialize;
 
 /// Name of the experiment in its records.
@@ -58,12 +58,12 @@
 /// Figures of a point over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct PointSummary {
-    request_microseconds: Spread,
-    request_p99_microseconds: Spread,
-    requests_measured: Spread,
-    idle_maintenance_milliseconds_per_second: Spread,
-    warm_maintenance_milliseconds_per_second: Spread,
-    memory_bytes: Spread,
+    request_microseconds: SampleSummary,
+    request_p99_microseconds: SampleSummary,
+    requests_measured: SampleSummary,
+    idle_maintenance_milliseconds_per_second: SampleSummary,
+    warm_maintenance_milliseconds_per_second: SampleSummary,
+    memory_bytes: SampleSummary,
     counts: Counts,
 }
 
@@ -71,10 +71,10 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Slopes {
     runs: usize,
-    request_nanoseconds: Spread,
-    idle_maintenance_nanoseconds_per_second: Spread,
-    warm_maintenance_nanoseconds_per_second: Spread,
-    memory_bytes: Spread,
+    request_nanoseconds: SampleSummary,
+    idle_maintenance_nanoseconds_per_second: SampleSummary,
+    warm_maintenance_nanoseconds_per_second: SampleSummary,
+    memory_bytes: SampleSummary,
 }
 
 impl PointResult {
@@ -113,8 +113,8 @@
         Some(RecordBody::Point { point: self.point, runs: self.runs.len(), summary: self.summary()? })
     }
 
-    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<Spread> {
-        Spread::of(self.runs.iter().map(figure))
+    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+        SampleSummary::from_values(self.runs.iter().map(figure))
     }
 }
 
@@ -157,12 +157,12 @@
         point.active.to_string(),
         point.backlog.to_string(),
         runs.len().to_string(),
-        spread_cell(summary.request_microseconds),
-        spread_cell(summary.request_p99_microseconds),
-        spread_cell(summary.requests_measured),
-        spread_cell(summary.idle_maintenance_milliseconds_per_second),
-        spread_cell(summary.warm_maintenance_milliseconds_per_second),
-        spread_cell(summary.memory_bytes.scaled(1.0 / BYTES_PER_MEBIBYTE)),
+        summary_cell(summary.request_microseconds),
+        summary_cell(summary.request_p99_microseconds),
+        summary_cell(summary.requests_measured),
+        summary_cell(summary.idle_maintenance_milliseconds_per_second),
+        summary_cell(summary.warm_maintenance_milliseconds_per_second),
+        summary_cell(summary.memory_bytes.scaled(1.0 / BYTES_PER_MEBIBYTE)),
         summary.counts.calls.to_string(),
     ])
 }
@@ -183,7 +183,7 @@
 }
 
 /// One slope for each run, through the same run of all points.
-fn slope(results: &[&PointResult], runs: usize, figure: fn(&RunMeasurement) -> f64) -> Option<Spread> {
+fn slope(results: &[&PointResult], runs: usize, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
     let points = |run: usize| {
         let of_run = results.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
         of_run.collect()
@@ -198,10 +198,10 @@
     let rows = slopes.iter().map(|(series, slopes)| {
         vec![
             series.to_string(),
-            spread_cell(slopes.request_nanoseconds),
-            spread_cell(slopes.idle_maintenance_nanoseconds_per_second),
-            spread_cell(slopes.warm_maintenance_nanoseconds_per_second),
-            spread_cell(slopes.memory_bytes),
+            summary_cell(slopes.request_nanoseconds),
+            summary_cell(slopes.idle_maintenance_nanoseconds_per_second),
+            summary_cell(slopes.warm_maintenance_nanoseconds_per_second),
+            summary_cell(slopes.memory_bytes),
         ]
     });
     table(&header, rows)
--- a/scale/src/policy/run_process.rs
+++ b/scale/src/policy/run_process.rs
@@ -49,7 +49,7 @@
     }
     if !output.status.success() {
         let errors = String::from_utf8_lossy(&output.stderr);
-        return Err(ScaleError::Run(format!("{}: {}", output.status, errors.trim())));
+        return Err(ScaleError::RunFailed(format!("{}: {}", output.status, errors.trim())));
     }
     Ok(Some(serde_json::from_slice(&output.stdout)?))
 }
--- a/scale/src/policy/settings.rs
+++ b/scale/src/policy/settings.rs
@@ -1,23 +1,23 @@
 //! The scenario of `scale policy`: its keys and their ranges.
 
+use crate::bounded_integer::BoundedInteger;
 use crate::deployment::{ClassSettings, Deployment, PositiveMilliseconds};
-use crate::range::Bounded;
 use hatchline::Settings;
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
 /// A number of destinations listed.
-pub(super) type ListedCount = Bounded<1, 1_000_000_000>;
+pub(super) type ListedCount = BoundedInteger<1, 1_000_000_000>;
 /// A number of destinations that get traffic.
-pub(super) type ActiveCount = Bounded<1, 1_000_000_000>;
+pub(super) type ActiveCount = BoundedInteger<1, 1_000_000_000>;
 /// A number of messages held.
-pub(super) type HeldCount = Bounded<0, 1_000_000_000>;
+pub(super) type HeldCount = BoundedInteger<0, 1_000_000_000>;
 /// A number of runs.
-pub(super) type RunCount = Bounded<1, 1_000>;
+pub(super) type RunCount = BoundedInteger<1, 1_000>;
 /// A number of requests.
-type RequestCount = Bounded<1, 100_000_000>;
+type RequestCount = BoundedInteger<1, 100_000_000>;
 /// A short span in microseconds.
-type ShortMicroseconds = Bounded<10, 10_000_000>;
+type ShortMicroseconds = BoundedInteger<10, 10_000_000>;
 
 /// A scenario file.
 #[derive(Clone, Debug, Deserialize)]
@@ -36,11 +36,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PolicySettings {
-    pub replicas: Bounded<1, 100_000>,
-    pub slots: Bounded<1, 1_000_000>,
-    pub max_attempts: Bounded<1, 1_000>,
-    pub max_held: Bounded<1, 2_000_000_000>,
-    pub listed_rate: Bounded<0, 1_000_000_000>,
+    pub replicas: BoundedInteger<1, 100_000>,
+    pub slots: BoundedInteger<1, 1_000_000>,
+    pub max_attempts: BoundedInteger<1, 1_000>,
+    pub max_held: BoundedInteger<1, 2_000_000_000>,
+    pub listed_rate: BoundedInteger<0, 1_000_000_000>,
     pub classes: Vec<ClassSettings>,
 }
 
@@ -52,7 +52,7 @@
     pub backlog_class: Spanned<String>,
     pub request_interval_us: ShortMicroseconds,
     pub service_time_us: ShortMicroseconds,
-    pub warm_up_answers: Bounded<0, 10_000>,
+    pub warm_up_answers: BoundedInteger<0, 10_000>,
     pub min_requests: RequestCount,
     pub max_requests: RequestCount,
     pub time_budget_ms: PositiveMilliseconds,
@@ -81,7 +81,7 @@
     pub points: Vec<Spanned<HeldCount>>,
     pub listed: Spanned<ListedCount>,
     pub active: ActiveCount,
-    pub destinations: Bounded<1, 1_000_000_000>,
+    pub destinations: BoundedInteger<1, 1_000_000_000>,
 }
 
 impl PolicySettings {
--- a/scale/src/process.rs
+++ b/scale/src/process_usage.rs
@@ -18,7 +18,7 @@
 ///
 /// It is the sum that `stat` gives as utime and stime in ticks of 10 ms. It is read from `schedstat`, in nanoseconds: an
 /// idle process takes less than a tick a second. Threads that have ended are left out.
-pub fn processor_time(process_id: u32) -> ProcResult<Duration> {
+pub fn cpu_time(process_id: u32) -> ProcResult<Duration> {
     let mut total = Duration::ZERO;
     for task in process(process_id)?.tasks()? {
         let statistics = task?.schedstat()?;
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ScaleError;
 use crate::provenance::Provenance;
-use crate::statistics::Spread;
+use crate::statistics::SampleSummary;
 use comfy_table::{presets, CellAlignment, Table};
 use serde::Serialize;
 use std::fs::Permissions;
@@ -88,8 +88,8 @@
 }
 
 /// A spread in a cell: median, least and greatest.
-pub fn spread_cell(spread: Spread) -> String {
-    let Spread { median, min, max } = spread;
+pub fn summary_cell(spread: SampleSummary) -> String {
+    let SampleSummary { median, min, max } = spread;
     format!("{} [{}, {}]", number_cell(median), number_cell(min), number_cell(max))
 }
 
--- a/scale/src/statistics.rs
+++ b/scale/src/statistics.rs
@@ -7,7 +7,7 @@
 
 /// The middle of some measurements, and the least and the greatest.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Spread {
+pub struct SampleSummary {
     /// The median.
     pub median: f64,
     /// The least.
@@ -16,18 +16,18 @@
     pub max: f64,
 }
 
-impl Spread {
+impl SampleSummary {
     /// The spread of some measurements, or none if there are none.
-    pub fn of(values: impl IntoIterator<Item = f64>) -> Option<Spread> {
+    pub fn from_values(values: impl IntoIterator<Item = f64>) -> Option<SampleSummary> {
         let mut sorted: Vec<f64> = values.into_iter().collect();
         sorted.sort_by(f64::total_cmp);
         let (min, max) = (*sorted.first()?, *sorted.last()?);
-        Some(Spread { median: median_of_sorted(&sorted), min, max })
+        Some(SampleSummary { median: median_of_sorted(&sorted), min, max })
     }
 
     /// The same in another unit.
-    pub fn scaled(self, factor: f64) -> Spread {
-        Spread { median: self.median * factor, min: self.min * factor, max: self.max * factor }
+    pub fn scaled(self, factor: f64) -> SampleSummary {
+        SampleSummary { median: self.median * factor, min: self.min * factor, max: self.max * factor }
     }
 }
 
@@ -52,7 +52,7 @@
 
 /// The spread of the slopes of runs: one slope for each run, through the points that it has of that run; none where the
 /// points of a run do not differ.
-pub fn slope_over_runs(runs: usize, points: impl Fn(usize) -> Vec<(f64, f64)>) -> Option<Spread> {
+pub fn slope_over_runs(runs: usize, points: impl Fn(usize) -> Vec<(f64, f64)>) -> Option<SampleSummary> {
     let slopes: Option<Vec<f64>> = (0..runs).map(|run| least_squares_slope(&points(run))).collect();
-    Spread::of(slopes?)
+    SampleSummary::from_values(slopes?)
 }
--- a/scale/tests/process.rs
+++ b/scale/tests/process.rs
@@ -1,7 +1,7 @@
 //! Figures of another process.
 
 use procfs::process::Process;
-use scale::process::{processor_time, resident_bytes};
+use scale::process_usage::{cpu_time, resident_bytes};
 use std::process::{Child, Command};
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     let before = process.ticks_time();
-    let time = processor_time(process.0.id()).unwrap();
+    let time = cpu_time(process.0.id()).unwrap();
     let after = process.ticks_time();
     assert!(before <= time + TOLERANCE && time <= after + TOLERANCE, "{before:?} {time:?} {after:?}");
 }
--- a/scale/tests/statistics.rs
+++ b/scale/tests/statistics.rs
@@ -1,12 +1,18 @@
 //! Summaries of repeated measurements.
 
-use scale::statistics::{least_squares_slope, Spread};
+use scale::statistics::{least_squares_slope, SampleSummary};
 
 #[test]
 fn a_spread_has_the_median_and_both_ends() {
-    assert_eq!(Spread::of([]), None);
-    assert_eq!(Spread::of([3.0, 1.0, 9.0]), Some(Spread { median: 3.0, min: 1.0, max: 9.0 }));
-    assert_eq!(Spread::of([4.0, 1.0, 2.0, 9.0]), Some(Spread { median: 3.0, min: 1.0, max: 9.0 }));
+    assert_eq!(SampleSummary::from_values([]), None);
+    assert_eq!(
+        SampleSummary::from_values([3.0, 1.0, 9.0]),
+        Some(SampleSummary { median: 3.0, min: 1.0, max: 9.0 })
+    );
+    assert_eq!(
+        SampleSummary::from_values([4.0, 1.0, 2.0, 9.0]),
+        Some(SampleSummary { median: 3.0, min: 1.0, max: 9.0 })
+    );
 }
 
 #[test]
