--- a/scale/src/call.rs
+++ b/scale/src/call.rs
@@ -12,21 +12,21 @@
     /// The endpoint called.
     pub target: TargetId,
     /// When it was made.
-    pub sent: Micros,
+    pub sent_at: Micros,
 }
 
 impl Call {
     /// The event by which the policy learns its end; `ended` says that its message is over.
-    pub fn end_event(self, now: Micros, outcome: Outcome, ended: bool, wait: Micros) -> Event {
-        let Call { id, attempt, target, sent } = self;
+    pub fn end_event(self, now: Micros, outcome: Outcome, message_ended: bool, retry_after: Micros) -> Event {
+        let Call { id, attempt, target, sent_at } = self;
         Event::AttemptEnded {
             id,
             attempt,
             target,
             outcome,
-            took: now - sent,
-            message_ended: ended,
-            retry_after: wait,
+            took: now - sent_at,
+            message_ended,
+            retry_after,
             report: None,
         }
     }
--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -49,7 +49,7 @@
 /// Parses the command line, runs the experiment and reports how it ended.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    start_logging(arguments.log_level);
+    init_logging(arguments.log_level);
     match run(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -70,6 +70,6 @@
     }
 }
 
-fn start_logging(level: LevelFilter) {
+fn init_logging(level: LevelFilter) {
     tracing_subscriber::fmt().json().with_max_level(level).with_writer(std::io::stderr).init();
 }
--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -11,12 +11,12 @@
 /// Shortest span between two moments at which events reach a forwarder.
 const TICK: Micros = MILLISECOND;
 /// Greatest span that a scenario may name, in milliseconds: a day.
-const DAY_MS: u64 = 86_400_000;
+const MAX_SPAN_MS: u64 = 86_400_000;
 
 /// A span in milliseconds, perhaps none.
-pub type Milliseconds = BoundedInteger<0, DAY_MS>;
+pub type Milliseconds = BoundedInteger<0, MAX_SPAN_MS>;
 /// A span in milliseconds.
-pub type PositiveMilliseconds = BoundedInteger<1, DAY_MS>;
+pub type PositiveMilliseconds = BoundedInteger<1, MAX_SPAN_MS>;
 
 /// A class of messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -29,33 +29,35 @@
     /// Span in which a message may be delivered.
     pub deadline_ms: PositiveMilliseconds,
     /// What a delivery is worth.
-    pub worth: Share,
+    pub worth: Fraction,
     /// Share of the worth that is left at the deadline.
-    pub late_value: Share,
+    pub late_value: Fraction,
     /// What a repeat does.
-    pub effect: EffectName,
+    #[serde(rename = "effect")]
+    pub retry_safety: RetrySafetySetting,
     /// For keyed classes: how long repeats are dropped.
-    pub window_ms: Milliseconds,
+    #[serde(rename = "window_ms")]
+    pub deduplication_window_ms: Milliseconds,
 }
 
 /// A number from 0 to 1.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(try_from = "f64")]
-pub struct Share(f64);
+pub struct Fraction(f64);
 
-impl TryFrom<f64> for Share {
+impl TryFrom<f64> for Fraction {
     type Error = String;
 
     fn try_from(number: f64) -> Result<Self, String> {
         let in_range = (0.0..=1.0).contains(&number);
-        in_range.then_some(Share(number)).ok_or_else(|| format!("{number} is out of range, 0 to 1"))
+        in_range.then_some(Fraction(number)).ok_or_else(|| format!("{number} is out of range, 0 to 1"))
     }
 }
 
 /// What a repeat of a message does.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum EffectName {
+pub enum RetrySafetySetting {
     /// May be repeated at will.
     Repeatable,
     /// The destination drops repeats for a time.
@@ -85,13 +87,13 @@
     /// The settings in the form that the delivery policy takes. What no scenario sets is as in a usual deployment.
     pub fn policy_settings(&self) -> Settings {
         Settings {
-            replicas: to_u32(self.replicas),
-            slots: to_u32(self.slots),
-            max_held: to_u32(self.max_held),
-            max_attempts: to_u32(self.max_attempts),
+            replicas: saturating_u32(self.replicas),
+            slots: saturating_u32(self.slots),
+            max_held: saturating_u32(self.max_held),
+            max_attempts: saturating_u32(self.max_attempts),
             may_cancel: true,
             classes: self.classes.iter().map(ClassSettings::to_policy).collect(),
-            contract: contract(),
+            contract: typical_contract(),
             batch_by_kind: vec![1],
             route_per_endpoint: vec![false],
             listed_rate: if self.is_rate_listed { ListedRate::Exact } else { ListedRate::Unknown },
@@ -111,25 +113,25 @@
             deadline: self.deadline_ms.get() * MILLISECOND,
             worth: self.worth.0,
             late_value: self.late_value.0,
-            retry_safety: self.effect.to_policy(),
-            deduplication_window: self.window_ms.get() * MILLISECOND,
+            retry_safety: self.retry_safety.to_policy(),
+            deduplication_window: self.deduplication_window_ms.get() * MILLISECOND,
             ..Class::default()
         }
     }
 }
 
-impl EffectName {
+impl RetrySafetySetting {
     fn to_policy(self) -> RetrySafety {
         match self {
-            EffectName::Repeatable => RetrySafety::Repeatable,
-            EffectName::Keyed => RetrySafety::Keyed,
-            EffectName::Unsafe => RetrySafety::Unsafe,
+            RetrySafetySetting::Repeatable => RetrySafety::Repeatable,
+            RetrySafetySetting::Keyed => RetrySafety::Keyed,
+            RetrySafetySetting::Unsafe => RetrySafety::Unsafe,
         }
     }
 }
 
 /// Contract of the usual deployment.
-fn contract() -> DestinationContract {
+fn typical_contract() -> DestinationContract {
     DestinationContract {
         drain_grace: SECOND,
         cold_capacity_share: 0.2,
@@ -142,6 +144,6 @@
 }
 
 /// A number whose range ends below the greatest of 32 bits.
-pub fn to_u32(number: u64) -> u32 {
+pub fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -7,11 +7,11 @@
 use thiserror::Error;
 
 /// Exit status where the experiment itself failed.
-const STATUS_FAILURE: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 /// Exit status for a scenario file or argument that cannot be used; the same as the argument parser's.
-const STATUS_BAD_INPUT: u8 = 2;
+const EXIT_BAD_INPUT: u8 = 2;
 /// Exit status after an interrupt: 128 and the number of the signal.
-const STATUS_INTERRUPTED: u8 = 130;
+const EXIT_INTERRUPTED: u8 = 130;
 
 /// Why an experiment failed. Each is displayed on one line.
 #[derive(Debug, Error)]
@@ -47,10 +47,10 @@
         other: String,
     },
     /// The policy did not hold as many messages as the point asks for.
-    #[error("the policy holds {held} messages in place of {wanted}")]
+    #[error("the policy holds {held} messages instead of the {requested} requested")]
     BacklogNotHeld {
         /// Messages that the point asks for.
-        wanted: u64,
+        requested: u64,
         /// Messages held after the backlog was submitted.
         held: u64,
     },
@@ -83,9 +83,9 @@
     /// The exit status of the command.
     pub fn exit_status(&self) -> u8 {
         match self {
-            ScaleError::Scenario(_) | ScaleError::Argument { .. } => STATUS_BAD_INPUT,
-            ScaleError::Interrupted { .. } => STATUS_INTERRUPTED,
-            _ => STATUS_FAILURE,
+            ScaleError::Scenario(_) | ScaleError::Argument { .. } => EXIT_BAD_INPUT,
+            ScaleError::Interrupted { .. } => EXIT_INTERRUPTED,
+            _ => EXIT_FAILURE,
         }
     }
 }
--- a/scale/src/fleet/arguments.rs
+++ b/scale/src/fleet/arguments.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::CommonArguments;
 use crate::bounded_integer::BoundedInteger;
-use crate::fleet::plan::Case;
+use crate::fleet::plan::OutageCase;
 use crate::fleet::settings::FleetSize;
 use clap::Args;
 
@@ -16,7 +16,7 @@
     pub(super) common: CommonArguments,
     /// Simulate only these outages.
     #[arg(long, value_delimiter = ',', value_enum)]
-    pub(super) cases: Vec<Case>,
+    pub(super) cases: Vec<OutageCase>,
     /// Fleet sizes, in place of the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) sizes: Vec<FleetSize>,
--- a/scale/src/fleet/experiment.rs
+++ b/scale/src/fleet/experiment.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ScaleError;
 use crate::fleet::arguments::FleetArguments;
-use crate::fleet::plan::{Case, Plan};
+use crate::fleet::plan::{OutageCase, Plan};
 use crate::fleet::results::{outage_table, steady_table, PointResult, EXPERIMENT};
 use crate::fleet::run::simulate;
 use crate::interrupt::Interrupt;
@@ -57,12 +57,12 @@
 /// Simulates the points, some at a time, until all are done or the user interrupts. Gives those done in their order.
 fn simulate_points(plan: &Plan, interrupt: &Interrupt) -> Vec<PointResult> {
     let progress = progress_bar(plan.points.len() as u64);
-    let work = Mutex::new(smallest_first(plan));
+    let pending = Mutex::new(indices_by_fleet_size(plan));
     let done = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..plan.threads {
             scope.spawn(|| {
-                while let Some(index) = take_next(&work) {
+                while let Some(index) = pop_largest(&pending) {
                     let Some(result) = simulate_point(plan, index, interrupt, &progress) else { break };
                     done.lock().unwrap_or_else(PoisonError::into_inner).push((index, result));
                 }
@@ -76,14 +76,14 @@
 }
 
 /// Places of the points, the largest fleet last: it takes longest, and work is taken from the end.
-fn smallest_first(plan: &Plan) -> Vec<usize> {
+fn indices_by_fleet_size(plan: &Plan) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..plan.points.len()).collect();
     indices.sort_by_key(|index| plan.points[*index].replicas);
     indices
 }
 
-fn take_next(work: &Mutex<Vec<usize>>) -> Option<usize> {
-    work.lock().unwrap_or_else(PoisonError::into_inner).pop()
+fn pop_largest(pending: &Mutex<Vec<usize>>) -> Option<usize> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner).pop()
 }
 
 /// Simulates one point; none if the user interrupts it.
@@ -92,17 +92,17 @@
 ) -> Option<PointResult> {
     let point = plan.points[index];
     progress.set_message(format!("{} replicas, {}", point.replicas, point.case));
-    let figures = simulate(&plan.scenario, point, plan.seed, interrupt)?;
-    tracing::info!(?point, ?figures, "point simulated");
+    let metrics = simulate(&plan.scenario, point, plan.seed, interrupt)?;
+    tracing::info!(?point, figures = ?metrics, "point simulated");
     progress.inc(1);
-    Some(PointResult { point, figures })
+    Some(PointResult { point, metrics })
 }
 
 fn print_tables(output: &mut impl Write, results: &[PointResult]) -> Result<(), ScaleError> {
     if !results.is_empty() {
         writeln!(output, "\nsteady traffic\n{}", steady_table(results))?;
     }
-    for case in Case::value_variants() {
+    for case in OutageCase::value_variants() {
         if results.iter().any(|result| result.point.case == *case) {
             writeln!(output, "\noutage, calls {case}\n{}", outage_table(results, *case))?;
         }
--- a/scale/src/fleet/figures.rs
+++ b/scale/src/fleet/metrics.rs
@@ -1,10 +1,10 @@
 //! The figures of a point, from what its simulation recorded.
 
 use crate::deployment::{MILLISECOND, SECOND};
-use crate::fleet::cold_budget::{worst_windows, WindowLoad, WorstWindows};
-use crate::fleet::observations::{LearnedAnswers, Message, Observations, Stage};
+use crate::fleet::cold_load::{worst_windows, WindowLoad, WorstWindows};
+use crate::fleet::observations::{LearnedResponses, Message, MessageState, Observations};
 use crate::fleet::plan::Point;
-use crate::fleet::settings::{micros, FleetScenario};
+use crate::fleet::settings::{to_micros, FleetScenario};
 use crate::fleet::simulation::Phases;
 use crate::statistics::SampleSummary;
 use hatchline::Micros;
@@ -12,7 +12,7 @@
 use std::ops::Range;
 
 /// Answers of a route from which on the policy trusts the time-out that it has measured.
-const TRUSTED_ANSWERS: u32 = 20;
+const MIN_RESPONSES_FOR_MEASURED_TIMEOUT: u32 = 20;
 /// Share of messages that are delivered within their aim once service is back.
 const RECOVERED_SHARE: f64 = 0.9;
 /// Span of arrivals over which that share is taken, and the step between two such spans.
@@ -21,11 +21,13 @@
 
 /// What replicas have learned by the end of the steady phase.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub(super) struct SteadyFigures {
+pub(super) struct SteadyMetrics {
     /// Share of all pairs of a replica and a sampled destination that have met.
-    pub pairs_met_share: f64,
+    #[serde(rename = "pairs_met_share")]
+    pub pairs_with_traffic_share: f64,
     /// Answers of the pairs that have met; none where no pair has.
-    pub answers_of_pairs_met: Option<SampleSummary>,
+    #[serde(rename = "answers_of_pairs_met")]
+    pub responses_of_pairs_with_traffic: Option<SampleSummary>,
     /// Share of all pairs whose measured time-out is trusted.
     pub pairs_trusted_share: f64,
     /// Span in which a pair gets as many answers as that takes, at the mean rate of the phase; none without answers.
@@ -36,7 +38,7 @@
 
 /// What the outage did. Shares are none where no message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub(super) struct OutageFigures {
+pub(super) struct OutageMetrics {
     /// Calls to a destination while it was down.
     pub calls_while_down: Option<SampleSummary>,
     /// Messages that arrived for a destination meanwhile, on the mean.
@@ -58,99 +60,105 @@
 
 /// All figures of a point.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub(super) struct Figures {
+pub(super) struct PointMetrics {
     pub messages: usize,
-    pub steady: SteadyFigures,
-    pub outage: OutageFigures,
+    pub steady: SteadyMetrics,
+    pub outage: OutageMetrics,
 }
 
-impl Figures {
+impl PointMetrics {
     /// The figures of a simulation that has ended.
     pub fn new(
         scenario: &FleetScenario, point: Point, phases: &Phases, observations: &Observations,
-    ) -> Figures {
-        let deliveries = Deliveries {
+    ) -> PointMetrics {
+        let deliveries = DeliveryStatistics {
             messages: &observations.messages,
             aim: scenario.policy.class.aim_ms.get() * MILLISECOND,
             deadline: scenario.policy.class.deadline_ms.get() * MILLISECOND,
         };
-        Figures {
+        PointMetrics {
             messages: observations.messages.len(),
-            steady: steady_figures(scenario, point, phases, &observations.learned, &deliveries),
-            outage: outage_figures(scenario, point, phases, observations, &deliveries),
+            steady: steady_metrics(scenario, point, phases, &observations.learned, &deliveries),
+            outage: outage_metrics(scenario, point, phases, observations, &deliveries),
         }
     }
 }
 
 /// Messages in order of arrival, and what counts as in time.
 #[derive(Debug)]
-struct Deliveries<'a> {
+struct DeliveryStatistics<'a> {
     messages: &'a [Message],
     aim: Micros,
     deadline: Micros,
 }
 
-impl Deliveries<'_> {
+impl DeliveryStatistics<'_> {
     /// Share of the messages that arrived in a span that were delivered within their aim.
-    fn within_aim(&self, arrived: Range<Micros>) -> Option<f64> {
-        self.share_within(arrived, self.aim)
+    fn share_within_aim(&self, arrival_span: Range<Micros>) -> Option<f64> {
+        self.share_delivered_within(arrival_span, self.aim)
     }
 
     /// Share of the messages that arrived in a span that were delivered before their deadline.
-    fn within_deadline(&self, arrived: Range<Micros>) -> Option<f64> {
-        self.share_within(arrived, self.deadline)
+    fn share_within_deadline(&self, arrival_span: Range<Micros>) -> Option<f64> {
+        self.share_delivered_within(arrival_span, self.deadline)
     }
 
-    fn share_within(&self, arrived: Range<Micros>, limit: Micros) -> Option<f64> {
-        let first = self.messages.partition_point(|message| message.arrived < arrived.start);
-        let end = self.messages.partition_point(|message| message.arrived < arrived.end);
+    fn share_delivered_within(&self, arrival_span: Range<Micros>, max_delay: Micros) -> Option<f64> {
+        let first = self.messages.partition_point(|message| message.arrived_at < arrival_span.start);
+        let end = self.messages.partition_point(|message| message.arrived_at < arrival_span.end);
         let messages = &self.messages[first..end];
-        let in_time = |message: &&Message| match message.stage {
-            Stage::Delivered(at) => at <= message.arrived + limit,
-            Stage::Underway | Stage::Ended => false,
+        let in_time = |message: &&Message| match message.state {
+            MessageState::Delivered(at) => at <= message.arrived_at + max_delay,
+            MessageState::Pending | MessageState::NotDelivered => false,
         };
         let count = messages.iter().filter(in_time).count();
         (!messages.is_empty()).then(|| count as f64 / messages.len() as f64)
     }
 }
 
-fn steady_figures(
-    scenario: &FleetScenario, point: Point, phases: &Phases, learned: &LearnedAnswers,
-    deliveries: &Deliveries,
-) -> SteadyFigures {
+fn steady_metrics(
+    scenario: &FleetScenario, point: Point, phases: &Phases, learned: &LearnedResponses,
+    deliveries: &DeliveryStatistics,
+) -> SteadyMetrics {
     let pairs = (point.replicas * scenario.traffic.sampled_destinations.get()) as f64;
-    let answers = &learned.of_pairs_met;
-    let trusted = answers.iter().filter(|answers| **answers >= TRUSTED_ANSWERS).count();
-    let total: f64 = answers.iter().map(|answers| f64::from(*answers)).sum();
+    let responses = &learned.per_pair_with_traffic;
+    let trusted =
+        responses.iter().filter(|responses| **responses >= MIN_RESPONSES_FOR_MEASURED_TIMEOUT).count();
+    let total: f64 = responses.iter().map(|responses| f64::from(*responses)).sum();
     let per_pair_and_second = total / pairs / scenario.phases.steady_s.get() as f64;
-    SteadyFigures {
-        pairs_met_share: answers.len() as f64 / pairs,
-        answers_of_pairs_met: SampleSummary::from_values(answers.iter().map(|answers| f64::from(*answers))),
+    SteadyMetrics {
+        pairs_with_traffic_share: responses.len() as f64 / pairs,
+        responses_of_pairs_with_traffic: SampleSummary::from_values(
+            responses.iter().map(|responses| f64::from(*responses)),
+        ),
         pairs_trusted_share: trusted as f64 / pairs,
-        seconds_until_trusted: (total > 0.0).then(|| f64::from(TRUSTED_ANSWERS) / per_pair_and_second),
-        within_aim_share: deliveries.within_aim(phases.start..phases.outage),
+        seconds_until_trusted: (total > 0.0)
+            .then(|| f64::from(MIN_RESPONSES_FOR_MEASURED_TIMEOUT) / per_pair_and_second),
+        within_aim_share: deliveries.share_within_aim(phases.start..phases.outage_start),
     }
 }
 
-fn outage_figures(
+fn outage_metrics(
     scenario: &FleetScenario, point: Point, phases: &Phases, observations: &Observations,
-    deliveries: &Deliveries,
-) -> OutageFigures {
+    deliveries: &DeliveryStatistics,
+) -> OutageMetrics {
     let windows = windows_by_destination(scenario, point, observations);
     let worst = |window: fn(&WorstWindows) -> WindowLoad| {
         windows.iter().map(window).fold(WindowLoad::default(), WindowLoad::worse)
     };
-    let calls = observations.destinations.iter().map(|log| log.calls_while_down as f64);
+    let calls = observations.destinations.iter().map(|calls| calls.count_during_outage as f64);
     let outage_s = scenario.phases.outage_s.get() as f64;
-    OutageFigures {
+    OutageMetrics {
         calls_while_down: SampleSummary::from_values(calls),
         arrivals_while_down: scenario.traffic.events_per_second_per_destination() * outage_s,
         worst_window: worst(|windows| windows.counted),
         worst_window_of_any: worst(|windows| windows.any),
         destinations_over_budget: windows.iter().filter(|windows| windows.counted.ratio() > 1.0).count(),
-        delivered_share_of_outage: deliveries.within_deadline(phases.outage..phases.recovery),
-        delivered_share_of_recovery: deliveries.within_deadline(phases.recovery..phases.end_of_traffic),
-        delivered_share_of_run: deliveries.within_deadline(phases.start..phases.end_of_traffic),
+        delivered_share_of_outage: deliveries
+            .share_within_deadline(phases.outage_start..phases.recovery_start),
+        delivered_share_of_recovery: deliveries
+            .share_within_deadline(phases.recovery_start..phases.traffic_end),
+        delivered_share_of_run: deliveries.share_within_deadline(phases.start..phases.traffic_end),
         seconds_until_recovered: seconds_until_recovered(scenario, phases, deliveries),
     }
 }
@@ -160,17 +168,17 @@
 ) -> Vec<WorstWindows> {
     let contract = scenario.policy_settings(point.replicas).contract;
     let capacity = scenario.destination.capacity_per_second.get() as f64;
-    let logs = observations.destinations.iter();
-    logs.map(|log| worst_windows(&log.calls_after_return, capacity, &contract)).collect()
+    let destinations = observations.destinations.iter();
+    destinations.map(|calls| worst_windows(&calls.after_outage, capacity, &contract)).collect()
 }
 
 fn seconds_until_recovered(
-    scenario: &FleetScenario, phases: &Phases, deliveries: &Deliveries,
+    scenario: &FleetScenario, phases: &Phases, deliveries: &DeliveryStatistics,
 ) -> Option<f64> {
-    let last = micros(scenario.phases.recovery_s).checked_sub(RECOVERY_WINDOW)?;
+    let last = to_micros(scenario.phases.recovery_s).checked_sub(RECOVERY_WINDOW)?;
     let is_recovered = |since: &Micros| {
-        let from = phases.recovery + since;
-        let share = deliveries.within_aim(from..from + RECOVERY_WINDOW);
+        let window_start = phases.recovery_start + since;
+        let share = deliveries.share_within_aim(window_start..window_start + RECOVERY_WINDOW);
         share.is_some_and(|share| share >= RECOVERED_SHARE)
     };
     let since = (0..=last).step_by(RECOVERY_STEP as usize).find(is_recovered)?;
--- a/scale/src/fleet/mod.rs
+++ b/scale/src/fleet/mod.rs
@@ -8,9 +8,9 @@
 //! same figures.
 
 mod arguments;
-mod cold_budget;
+mod cold_load;
 mod experiment;
-mod figures;
+mod metrics;
 mod observations;
 mod plan;
 mod replica;
--- a/scale/src/fleet/observations.rs
+++ b/scale/src/fleet/observations.rs
@@ -1,17 +1,17 @@
 //! What a simulation records: the fate of each message, and the calls to each destination.
 
-use crate::fleet::cold_budget::CallAfterReturn;
+use crate::fleet::cold_load::CallAfterOutage;
 use hatchline::{DestinationId, Micros};
 
 /// How far a message has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
+pub(super) enum MessageState {
     /// Neither delivered nor ended.
-    Underway,
+    Pending,
     /// Delivered at this time.
     Delivered(Micros),
     /// Ended undelivered by its policy.
-    Ended,
+    NotDelivered,
 }
 
 /// A message, and its attempts so far.
@@ -19,33 +19,33 @@
 pub(super) struct Message {
     pub replica: usize,
     pub destination: DestinationId,
-    pub arrived: Micros,
-    pub stage: Stage,
+    pub arrived_at: Micros,
+    pub state: MessageState,
     pub attempts: u32,
     /// The attempt that is out.
-    pub open_attempt: Option<u32>,
+    pub attempt_in_flight: Option<u32>,
 }
 
 /// What was recorded of one destination.
 #[derive(Clone, Debug, Default)]
-pub(super) struct DestinationLog {
+pub(super) struct DestinationCalls {
     /// Calls made during the outage.
-    pub calls_while_down: u64,
+    pub count_during_outage: u64,
     /// Calls made since the return, in order of time.
-    pub calls_after_return: Vec<CallAfterReturn>,
+    pub after_outage: Vec<CallAfterOutage>,
 }
 
 /// Answers that replicas had by the end of the steady phase.
 #[derive(Clone, Debug, Default)]
-pub(super) struct LearnedAnswers {
+pub(super) struct LearnedResponses {
     /// Successful answers of each pair of a replica and a destination that have met.
-    pub of_pairs_met: Vec<u32>,
+    pub per_pair_with_traffic: Vec<u32>,
 }
 
 /// All that a simulation recorded.
 #[derive(Clone, Debug)]
 pub(super) struct Observations {
     pub messages: Vec<Message>,
-    pub destinations: Vec<DestinationLog>,
-    pub learned: LearnedAnswers,
+    pub destinations: Vec<DestinationCalls>,
+    pub learned: LearnedResponses,
 }
--- a/scale/src/fleet/plan.rs
+++ b/scale/src/fleet/plan.rs
@@ -10,23 +10,23 @@
 
 /// The built-in scenario, and the file name in its errors.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/fleet.toml");
-const BUILT_IN_NAME: &str = "scale/scenarios/fleet.toml";
+const BUILT_IN_SCENARIO_NAME: &str = "scale/scenarios/fleet.toml";
 
 /// How the sampled destinations fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum Case {
+pub(super) enum OutageCase {
     /// They refuse connections.
     Refused,
     /// They answer no call: each runs into its time-out.
     Silent,
 }
 
-impl fmt::Display for Case {
+impl fmt::Display for OutageCase {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let text = match self {
-            Case::Refused => "refused",
-            Case::Silent => "silent",
+            OutageCase::Refused => "refused",
+            OutageCase::Silent => "silent",
         };
         formatter.write_str(text)
     }
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Point {
     pub replicas: u64,
-    pub case: Case,
+    pub case: OutageCase,
 }
 
 /// The whole experiment.
@@ -52,10 +52,13 @@
 impl Plan {
     /// The plan that the scenario and the arguments give.
     pub fn load(arguments: &FleetArguments) -> Result<Plan, ScaleError> {
-        let file =
-            ScenarioFile::load(arguments.common.scenario.as_deref(), BUILT_IN_NAME, BUILT_IN_SCENARIO)?;
+        let file = ScenarioFile::load(
+            arguments.common.scenario.as_deref(),
+            BUILT_IN_SCENARIO_NAME,
+            BUILT_IN_SCENARIO,
+        )?;
         let scenario: FleetScenario = file.parse()?;
-        let cases = if arguments.cases.is_empty() { Case::value_variants() } else { &arguments.cases };
+        let cases = if arguments.cases.is_empty() { OutageCase::value_variants() } else { &arguments.cases };
         let sizes = if arguments.sizes.is_empty() { &scenario.sizes } else { &arguments.sizes };
         Ok(Plan {
             scenario_name: file.path().display().to_string(),
@@ -68,8 +71,8 @@
 }
 
 /// All pairs of a case and a size, case by case.
-fn points(cases: &[Case], sizes: &[FleetSize]) -> Vec<Point> {
-    let of_case = |case: &Case| {
+fn points(cases: &[OutageCase], sizes: &[FleetSize]) -> Vec<Point> {
+    let of_case = |case: &OutageCase| {
         sizes.iter().map(|size| Point { replicas: size.get(), case: *case }).collect::<Vec<_>>()
     };
     cases.iter().flat_map(of_case).collect()
--- a/scale/src/fleet/replica.rs
+++ b/scale/src/fleet/replica.rs
@@ -1,6 +1,6 @@
 //! A simulated instance of the forwarder: its policy, its timers and what it has met.
 
-use crate::deployment::to_u32;
+use crate::deployment::saturating_u32;
 use crate::policy_under_test::PolicyUnderTest;
 use hatchline::{Action, DestinationId, Endpoint, Event, ListKind, Micros, Settings};
 use std::cmp::Reverse;
@@ -8,32 +8,34 @@
 
 /// What a replica has met of one destination.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Acquaintance {
+pub(super) struct DestinationHistory {
     pub messages: u32,
-    pub answers: u32,
+    pub responses: u32,
     /// The replica has called the destination during the outage.
-    pub is_informed: bool,
+    pub observed_outage: bool,
 }
 
 /// What all replicas are told at their start.
 #[derive(Clone, Debug)]
-pub(super) struct StartConditions {
+pub(super) struct InitialConditions {
     pub settings: Settings,
     pub endpoints: Vec<Endpoint>,
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
-impl StartConditions {
+impl InitialConditions {
     /// A fleet whose sampled destinations, numbered from 0, have one endpoint each, of the same number.
-    pub fn new(settings: Settings, destinations: u64, listed_rate: f64, started: Micros) -> StartConditions {
+    pub fn new(
+        settings: Settings, destinations: u64, listed_rate: f64, started_at: Micros,
+    ) -> InitialConditions {
         let endpoint = |number| Endpoint {
             target: number,
             destination: number,
             rate: listed_rate,
             ..Endpoint::default()
         };
-        let endpoints = (0..to_u32(destinations)).map(endpoint).collect();
-        StartConditions { settings, endpoints, started }
+        let endpoints = (0..saturating_u32(destinations)).map(endpoint).collect();
+        InitialConditions { settings, endpoints, started_at }
     }
 }
 
@@ -45,31 +47,31 @@
 pub(super) struct Replica {
     policy: PolicyUnderTest,
     timers: BinaryHeap<Reverse<(Micros, u32)>>,
-    pub acquaintances: Vec<Acquaintance>,
+    pub histories: Vec<DestinationHistory>,
     /// Messages that are neither delivered nor ended.
-    pub messages_underway: u32,
+    pub pending_messages: u32,
     /// Calls that are out.
-    pub calls_out: u32,
+    pub calls_in_flight: u32,
     /// When the simulation is to wake it for its timers.
-    pub wake_at: Option<Micros>,
+    pub wakeup_at: Option<Micros>,
 }
 
 impl Replica {
     /// A replica as it came up at the start.
-    pub fn new(seed: u64, conditions: &StartConditions) -> Replica {
-        let started = conditions.started;
+    pub fn new(seed: u64, conditions: &InitialConditions) -> Replica {
+        let started_at = conditions.started_at;
         let mut replica = Replica {
-            policy: PolicyUnderTest::new(started, seed, conditions.settings.clone()),
+            policy: PolicyUnderTest::new(started_at, seed, conditions.settings.clone()),
             timers: BinaryHeap::new(),
-            acquaintances: vec![Acquaintance::default(); conditions.endpoints.len()],
-            messages_underway: 0,
-            calls_out: 0,
-            wake_at: None,
+            histories: vec![DestinationHistory::default(); conditions.endpoints.len()],
+            pending_messages: 0,
+            calls_in_flight: 0,
+            wakeup_at: None,
         };
         let endpoints = conditions.endpoints.clone();
         let list = Event::List { kind: ListKind::Full, version: 1, endpoints };
         let mut actions = Vec::new();
-        replica.handle(started, list, &mut actions);
+        replica.handle(started_at, list, &mut actions);
         replica
     }
 
@@ -97,7 +99,7 @@
 
     /// Whether its timers may decide anything but further timers.
     pub fn is_busy(&self) -> bool {
-        self.messages_underway > 0 || self.calls_out > 0
+        self.pending_messages > 0 || self.calls_in_flight > 0
     }
 
     /// The time of its next timer.
@@ -106,7 +108,7 @@
     }
 
     /// What it has met of a destination.
-    pub fn acquaintance(&mut self, destination: DestinationId) -> &mut Acquaintance {
-        &mut self.acquaintances[destination as usize]
+    pub fn history(&mut self, destination: DestinationId) -> &mut DestinationHistory {
+        &mut self.histories[destination as usize]
     }
 }
--- a/scale/src/fleet/results.rs
+++ b/scale/src/fleet/results.rs
@@ -1,8 +1,8 @@
 //! Results of the points: their tables and records.
 
-use crate::fleet::cold_budget::WindowLoad;
-use crate::fleet::figures::Figures;
-use crate::fleet::plan::{Case, Point};
+use crate::fleet::cold_load::WindowLoad;
+use crate::fleet::metrics::PointMetrics;
+use crate::fleet::plan::{OutageCase, Point};
 use crate::report::{number_cell, summary_cell, table};
 use crate::statistics::SampleSummary;
 use serde::Serialize;
@@ -10,7 +10,7 @@
 /// Name of the experiment in its records.
 pub(super) const EXPERIMENT: &str = "fleet";
 /// The cell of a figure that there is not.
-const NONE: &str = "-";
+const NO_VALUE: &str = "-";
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 
 /// A point that was simulated. It is the content of its record.
@@ -20,7 +20,7 @@
     #[serde(flatten)]
     pub point: Point,
     #[serde(flatten)]
-    pub figures: Figures,
+    pub metrics: PointMetrics,
 }
 
 /// The table of what replicas learned in the steady phase, one row a fleet size. It does not depend on the outage.
@@ -44,12 +44,12 @@
 }
 
 fn steady_row(result: &PointResult) -> Vec<String> {
-    let steady = &result.figures.steady;
+    let steady = &result.metrics.steady;
     vec![
         result.point.replicas.to_string(),
-        result.figures.messages.to_string(),
-        percent_cell(Some(steady.pairs_met_share)),
-        optional_spread_cell(steady.answers_of_pairs_met),
+        result.metrics.messages.to_string(),
+        percent_cell(Some(steady.pairs_with_traffic_share)),
+        optional_summary_cell(steady.responses_of_pairs_with_traffic),
         percent_cell(Some(steady.pairs_trusted_share)),
         optional_cell(steady.seconds_until_trusted.map(|seconds| seconds / SECONDS_PER_HOUR)),
         percent_cell(steady.within_aim_share),
@@ -57,7 +57,7 @@
 }
 
 /// The table of the points of one case, one row a fleet size.
-pub(super) fn outage_table(results: &[PointResult], case: Case) -> String {
+pub(super) fn outage_table(results: &[PointResult], case: OutageCase) -> String {
     let header = [
         "replicas",
         "worst window",
@@ -74,13 +74,13 @@
 }
 
 fn outage_row(result: &PointResult) -> Vec<String> {
-    let outage = &result.figures.outage;
+    let outage = &result.metrics.outage;
     vec![
         result.point.replicas.to_string(),
         window_cell(outage.worst_window),
         window_cell(outage.worst_window_of_any),
         outage.destinations_over_budget.to_string(),
-        optional_spread_cell(outage.calls_while_down),
+        optional_summary_cell(outage.calls_while_down),
         number_cell(outage.arrivals_while_down),
         percent_cell(outage.delivered_share_of_outage),
         percent_cell(outage.delivered_share_of_recovery),
@@ -92,7 +92,7 @@
 /// Calls, calls allowed and their ratio.
 fn window_cell(load: WindowLoad) -> String {
     if load.calls == 0 {
-        return NONE.to_owned();
+        return NO_VALUE.to_owned();
     }
     format!("{}/{} = {}", load.calls, number_cell(load.allowed), number_cell(load.ratio()))
 }
@@ -102,9 +102,9 @@
 }
 
 fn optional_cell(number: Option<f64>) -> String {
-    number.map_or_else(|| NONE.to_owned(), number_cell)
+    number.map_or_else(|| NO_VALUE.to_owned(), number_cell)
 }
 
-fn optional_spread_cell(spread: Option<SampleSummary>) -> String {
-    spread.map_or_else(|| NONE.to_owned(), summary_cell)
+fn optional_summary_cell(summary: Option<SampleSummary>) -> String {
+    summary.map_or_else(|| NO_VALUE.to_owned(), summary_cell)
 }
--- a/scale/src/fleet/run.rs
+++ b/scale/src/fleet/run.rs
@@ -1,6 +1,6 @@
 //! One point from its start to its figures.
 
-use crate::fleet::figures::Figures;
+use crate::fleet::metrics::PointMetrics;
 use crate::fleet::plan::Point;
 use crate::fleet::settings::FleetScenario;
 use crate::fleet::simulation::{Phases, Simulation};
@@ -10,15 +10,15 @@
 /// Simulates a point; none if the user interrupts it.
 pub(super) fn simulate(
     scenario: &FleetScenario, point: Point, seed: u64, interrupt: &Interrupt,
-) -> Option<Figures> {
+) -> Option<PointMetrics> {
     let phases = Phases::new(scenario);
     let mut simulation = Simulation::new(scenario, point, seed);
-    run_until(&mut simulation, phases.outage, interrupt)?;
-    let learned = simulation.learned_answers();
+    run_until(&mut simulation, phases.outage_start, interrupt)?;
+    let learned = simulation.learned_responses();
     // Once no more traffic comes, each message ends by its deadline.
     run_until(&mut simulation, Micros::MAX, interrupt)?;
     let observations = simulation.into_observations(learned);
-    Some(Figures::new(scenario, point, &phases, &observations))
+    Some(PointMetrics::new(scenario, point, &phases, &observations))
 }
 
 /// Processes all events before `end`; none if the user interrupts that.
--- a/scale/src/fleet/settings.rs
+++ b/scale/src/fleet/settings.rs
@@ -11,7 +11,7 @@
 /// A span in seconds, an hour at most.
 type Seconds = BoundedInteger<1, 3_600>;
 /// The time of an answer in milliseconds.
-type AnswerMilliseconds = BoundedInteger<1, 60_000>;
+type ResponseMilliseconds = BoundedInteger<1, 60_000>;
 
 /// A scenario file.
 #[derive(Clone, Debug, Deserialize)]
@@ -50,8 +50,8 @@
 pub(super) struct DestinationSettings {
     pub capacity_per_second: BoundedInteger<1, 1_000_000>,
     pub is_capacity_listed: bool,
-    pub service_time_ms: AnswerMilliseconds,
-    pub refusal_time_ms: AnswerMilliseconds,
+    pub service_time_ms: ResponseMilliseconds,
+    pub refusal_time_ms: ResponseMilliseconds,
 }
 
 /// Spans of virtual time.
@@ -91,6 +91,6 @@
 }
 
 /// A span in microseconds.
-pub(super) fn micros(span: Seconds) -> Micros {
+pub(super) fn to_micros(span: Seconds) -> Micros {
     span.get() * SECOND
 }
--- a/scale/src/fleet/simulation.rs
+++ b/scale/src/fleet/simulation.rs
@@ -2,11 +2,11 @@
 
 use crate::call::Call;
 use crate::deployment::{MILLISECOND, SECOND};
-use crate::fleet::cold_budget::CallAfterReturn;
-use crate::fleet::observations::{DestinationLog, LearnedAnswers, Message, Observations, Stage};
-use crate::fleet::plan::{Case, Point};
-use crate::fleet::replica::{Replica, StartConditions};
-use crate::fleet::settings::{micros, DestinationSettings, FleetScenario};
+use crate::fleet::cold_load::CallAfterOutage;
+use crate::fleet::observations::{DestinationCalls, LearnedResponses, Message, MessageState, Observations};
+use crate::fleet::plan::{OutageCase, Point};
+use crate::fleet::replica::{InitialConditions, Replica};
+use crate::fleet::settings::{to_micros, DestinationSettings, FleetScenario};
 use crate::service_time::random_service_time;
 use hatchline::{Action, DestinationId, Event, MessageId, Micros, Outcome, TargetId};
 use rand::{RngExt, SeedableRng};
@@ -23,57 +23,57 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Phases {
     pub start: Micros,
-    pub outage: Micros,
-    pub recovery: Micros,
+    pub outage_start: Micros,
+    pub recovery_start: Micros,
     /// No message arrives from then on.
-    pub end_of_traffic: Micros,
+    pub traffic_end: Micros,
 }
 
 impl Phases {
     /// The phases of a scenario.
     pub fn new(scenario: &FleetScenario) -> Phases {
-        let outage = START + micros(scenario.phases.steady_s);
-        let recovery = outage + micros(scenario.phases.outage_s);
+        let outage_start = START + to_micros(scenario.phases.steady_s);
+        let recovery_start = outage_start + to_micros(scenario.phases.outage_s);
         Phases {
             start: START,
-            outage,
-            recovery,
-            end_of_traffic: recovery + micros(scenario.phases.recovery_s),
+            outage_start,
+            recovery_start,
+            traffic_end: recovery_start + to_micros(scenario.phases.recovery_s),
         }
     }
 
     fn is_down(&self, now: Micros) -> bool {
-        (self.outage..self.recovery).contains(&now)
+        (self.outage_start..self.recovery_start).contains(&now)
     }
 }
 
 /// What is to happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Scheduled {
+enum ScheduledEvent {
     /// A message arrives somewhere in the fleet.
     Arrival,
     /// A timer of a busy replica falls due.
-    Wake { replica: usize },
+    Wakeup { replica: usize },
     /// An attempt ends.
-    Answer { call: Call, end: End },
+    CallEnd { call: Call, end: CallEnd },
 }
 
 /// How an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
-    Served,
-    Refused,
+enum CallEnd {
+    Succeeded,
+    ConnectionRefused,
     TimedOut,
     Cancelled,
 }
 
-impl End {
+impl CallEnd {
     fn outcome(self) -> Outcome {
         match self {
-            End::Served => Outcome::Ok,
-            End::Refused => Outcome::ConnectFailed,
-            End::TimedOut => Outcome::TimedOut,
-            End::Cancelled => Outcome::Cancelled,
+            CallEnd::Succeeded => Outcome::Ok,
+            CallEnd::ConnectionRefused => Outcome::ConnectFailed,
+            CallEnd::TimedOut => Outcome::TimedOut,
+            CallEnd::Cancelled => Outcome::Cancelled,
         }
     }
 }
@@ -83,17 +83,17 @@
 pub(super) struct Simulation {
     now: Micros,
     phases: Phases,
-    case: Case,
+    case: OutageCase,
     seed: u64,
     random: ChaCha8Rng,
-    schedule: BinaryHeap<Reverse<(Micros, u64, Scheduled)>>,
+    schedule: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
     /// Events scheduled so far: those of one time happen in the order in which they were scheduled.
-    scheduled: u64,
-    conditions: StartConditions,
+    next_sequence: u64,
+    initial_conditions: InitialConditions,
     /// Replicas are made when their first message arrives, in the state of one that has been up since the start.
     replicas: Vec<Option<Replica>>,
     messages: Vec<Message>,
-    destinations: Vec<DestinationLog>,
+    destinations: Vec<DestinationCalls>,
     destination: DestinationSettings,
     mean_arrival_interval: f64,
     deadline: Micros,
@@ -114,11 +114,11 @@
             seed,
             random: ChaCha8Rng::seed_from_u64(seed),
             schedule: BinaryHeap::new(),
-            scheduled: 0,
-            conditions: StartConditions::new(settings, sampled, listed_rate, START),
+            next_sequence: 0,
+            initial_conditions: InitialConditions::new(settings, sampled, listed_rate, START),
             replicas: (0..point.replicas).map(|_| None).collect(),
             messages: Vec::new(),
-            destinations: vec![DestinationLog::default(); sampled as usize],
+            destinations: vec![DestinationCalls::default(); sampled as usize],
             destination,
             mean_arrival_interval: SECOND as f64 / scenario.traffic.simulated_events_per_second(),
             deadline: scenario.policy.class.deadline_ms.get() * MILLISECOND,
@@ -135,41 +135,41 @@
         let Some(Reverse((at, _, scheduled))) = self.schedule.pop() else { return false };
         self.now = at;
         match scheduled {
-            Scheduled::Arrival => self.arrive(),
-            Scheduled::Wake { replica } => self.wake(replica),
-            Scheduled::Answer { call, end } => self.answer(call, end),
+            ScheduledEvent::Arrival => self.handle_arrival(),
+            ScheduledEvent::Wakeup { replica } => self.handle_wakeup(replica),
+            ScheduledEvent::CallEnd { call, end } => self.handle_call_end(call, end),
         }
         true
     }
 
     /// The answers that replicas have by now.
-    pub fn learned_answers(&self) -> LearnedAnswers {
-        let acquaintances = self.replicas.iter().flatten().flat_map(|replica| &replica.acquaintances);
-        let met = acquaintances.filter(|acquaintance| acquaintance.messages > 0);
-        LearnedAnswers { of_pairs_met: met.map(|acquaintance| acquaintance.answers).collect() }
+    pub fn learned_responses(&self) -> LearnedResponses {
+        let histories = self.replicas.iter().flatten().flat_map(|replica| &replica.histories);
+        let met = histories.filter(|history| history.messages > 0);
+        LearnedResponses { per_pair_with_traffic: met.map(|history| history.responses).collect() }
     }
 
     /// Ends the simulation and gives what it recorded.
-    pub fn into_observations(self, learned: LearnedAnswers) -> Observations {
+    pub fn into_observations(self, learned: LearnedResponses) -> Observations {
         Observations { messages: self.messages, destinations: self.destinations, learned }
     }
 
-    fn schedule_at(&mut self, at: Micros, scheduled: Scheduled) {
-        self.schedule.push(Reverse((at, self.scheduled, scheduled)));
-        self.scheduled += 1;
+    fn schedule_at(&mut self, at: Micros, scheduled: ScheduledEvent) {
+        self.schedule.push(Reverse((at, self.next_sequence, scheduled)));
+        self.next_sequence += 1;
     }
 
     /// Schedules the next arrival. Arrivals are independent: the spans between them are exponentially distributed.
     fn schedule_arrival(&mut self) {
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
         let at = self.now + (-uniform.ln() * self.mean_arrival_interval) as Micros;
-        if at < self.phases.end_of_traffic {
-            self.schedule_at(at, Scheduled::Arrival);
+        if at < self.phases.traffic_end {
+            self.schedule_at(at, ScheduledEvent::Arrival);
         }
     }
 
     /// A message for any destination reaches any replica.
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         let replica = self.random.random_range(0..self.replicas.len());
         let destination = self.random.random_range(0..self.destinations.len()) as DestinationId;
         self.schedule_arrival();
@@ -177,61 +177,61 @@
         self.messages.push(Message {
             replica,
             destination,
-            arrived: self.now,
-            stage: Stage::Underway,
+            arrived_at: self.now,
+            state: MessageState::Pending,
             attempts: 0,
-            open_attempt: None,
+            attempt_in_flight: None,
         });
         let expires = self.now + self.deadline;
         self.run_timers(replica);
-        let at_replica = self.replica(replica);
-        at_replica.messages_underway += 1;
-        at_replica.acquaintance(destination).messages += 1;
-        self.pass_in(replica, Event::Request { id, class: 0, destination, order_key: 0, expires });
+        let receiver = self.replica(replica);
+        receiver.pending_messages += 1;
+        receiver.history(destination).messages += 1;
+        self.handle_event(replica, Event::Request { id, class: 0, destination, order_key: 0, expires });
     }
 
-    fn wake(&mut self, replica: usize) {
+    fn handle_wakeup(&mut self, replica: usize) {
         let now = self.now;
         let woken = self.replica(replica);
-        woken.wake_at = woken.wake_at.filter(|at| *at != now);
+        woken.wakeup_at = woken.wakeup_at.filter(|at| *at != now);
         self.run_timers(replica);
-        self.schedule_wake(replica);
+        self.schedule_wakeup(replica);
     }
 
-    fn answer(&mut self, call: Call, end: End) {
+    fn handle_call_end(&mut self, call: Call, end: CallEnd) {
         let message = &mut self.messages[call.id as usize];
-        if message.open_attempt != Some(call.attempt) {
+        if message.attempt_in_flight != Some(call.attempt) {
             // The attempt has been cancelled.
             return;
         }
-        message.open_attempt = None;
+        message.attempt_in_flight = None;
         let (index, destination) = (message.replica, message.destination);
-        let is_delivered = end == End::Served && message.stage == Stage::Underway;
+        let is_delivered = end == CallEnd::Succeeded && message.state == MessageState::Pending;
         if is_delivered {
-            message.stage = Stage::Delivered(self.now);
+            message.state = MessageState::Delivered(self.now);
         }
-        let ended = message.stage != Stage::Underway;
+        let ended = message.state != MessageState::Pending;
         self.run_timers(index);
         let replica = self.replica(index);
-        replica.calls_out -= 1;
-        replica.messages_underway -= u32::from(is_delivered);
-        replica.acquaintance(destination).answers += u32::from(end == End::Served);
-        self.pass_in(index, call.end_event(self.now, end.outcome(), ended, 0));
+        replica.calls_in_flight -= 1;
+        replica.pending_messages -= u32::from(is_delivered);
+        replica.history(destination).responses += u32::from(end == CallEnd::Succeeded);
+        self.handle_event(index, call.end_event(self.now, end.outcome(), ended, 0));
     }
 
     /// The replica of this number, made if need be.
     fn replica(&mut self, index: usize) -> &mut Replica {
         let seed = self.seed.wrapping_add(REPLICA_SEED_STEP.wrapping_mul(index as u64 + 1));
-        self.replicas[index].get_or_insert_with(|| Replica::new(seed, &self.conditions))
+        self.replicas[index].get_or_insert_with(|| Replica::new(seed, &self.initial_conditions))
     }
 
     /// Passes an event to a replica and carries out what it decides.
-    fn pass_in(&mut self, replica: usize, event: Event) {
+    fn handle_event(&mut self, replica: usize, event: Event) {
         let mut actions = Vec::new();
         let now = self.now;
         self.replica(replica).handle(now, event, &mut actions);
-        self.carry_out(replica, actions);
-        self.schedule_wake(replica);
+        self.execute(replica, actions);
+        self.schedule_wakeup(replica);
     }
 
     /// Runs all timers of a replica that are due. Those in the past are of a replica without messages and calls.
@@ -239,26 +239,26 @@
         let now = self.now;
         let mut actions = Vec::new();
         while self.replica(replica).handle_next_timer(now, &mut actions) {
-            self.carry_out(replica, std::mem::take(&mut actions));
+            self.execute(replica, std::mem::take(&mut actions));
         }
     }
 
     /// Has the replica woken for its next timer, if that may decide anything.
-    fn schedule_wake(&mut self, index: usize) {
+    fn schedule_wakeup(&mut self, index: usize) {
         let replica = self.replica(index);
         let Some(at) = replica.next_timer().filter(|_| replica.is_busy()) else { return };
-        if replica.wake_at.is_none_or(|wake_at| at < wake_at) {
-            replica.wake_at = Some(at);
-            self.schedule_at(at, Scheduled::Wake { replica: index });
+        if replica.wakeup_at.is_none_or(|wakeup_at| at < wakeup_at) {
+            replica.wakeup_at = Some(at);
+            self.schedule_at(at, ScheduledEvent::Wakeup { replica: index });
         }
     }
 
-    fn carry_out(&mut self, replica: usize, actions: Vec<Action>) {
+    fn execute(&mut self, replica: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, target, until } => self.send(id, target, until),
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::Refuse { id, .. } | Action::Fail { id } => self.end_undelivered(replica, id),
+                Action::Refuse { id, .. } | Action::Fail { id } => self.record_not_delivered(replica, id),
                 _ => {}
             }
         }
@@ -266,53 +266,55 @@
 
     fn send(&mut self, id: MessageId, target: TargetId, until: Micros) {
         let message = &mut self.messages[id as usize];
-        let call = Call { id, attempt: message.attempts, target, sent: self.now };
+        let call = Call { id, attempt: message.attempts, target, sent_at: self.now };
         message.attempts += 1;
-        message.open_attempt = Some(call.attempt);
+        message.attempt_in_flight = Some(call.attempt);
         let (replica, destination) = (message.replica, message.destination);
-        self.replica(replica).calls_out += 1;
+        self.replica(replica).calls_in_flight += 1;
         self.record_call(replica, destination);
-        let (at, end) = self.answer_to_call(until);
-        self.schedule_at(at, Scheduled::Answer { call, end });
+        let (at, end) = self.call_end(until);
+        self.schedule_at(at, ScheduledEvent::CallEnd { call, end });
     }
 
     /// When and how a call that is made now ends.
-    fn answer_to_call(&mut self, until: Micros) -> (Micros, End) {
+    fn call_end(&mut self, until: Micros) -> (Micros, CallEnd) {
         let service_time =
             random_service_time(&mut self.random, self.destination.service_time_ms.get() * MILLISECOND);
         let refusal_time = self.destination.refusal_time_ms.get() * MILLISECOND;
-        let answer = match (self.phases.is_down(self.now), self.case) {
-            (false, _) => Some((self.now + service_time, End::Served)),
-            (true, Case::Refused) => Some((self.now + refusal_time, End::Refused)),
-            (true, Case::Silent) => None,
+        let response = match (self.phases.is_down(self.now), self.case) {
+            (false, _) => Some((self.now + service_time, CallEnd::Succeeded)),
+            (true, OutageCase::Refused) => Some((self.now + refusal_time, CallEnd::ConnectionRefused)),
+            (true, OutageCase::Silent) => None,
         };
-        answer.filter(|(at, _)| *at <= until).unwrap_or((until, End::TimedOut))
+        response.filter(|(at, _)| *at <= until).unwrap_or((until, CallEnd::TimedOut))
     }
 
     fn record_call(&mut self, replica: usize, destination: DestinationId) {
         let (now, phases) = (self.now, self.phases);
-        let acquaintance = self.replica(replica).acquaintance(destination);
+        let history = self.replica(replica).history(destination);
         if phases.is_down(now) {
-            acquaintance.is_informed = true;
-            self.destinations[destination as usize].calls_while_down += 1;
-        } else if now >= phases.recovery {
-            let call =
-                CallAfterReturn { since: now - phases.recovery, is_informed: acquaintance.is_informed };
-            self.destinations[destination as usize].calls_after_return.push(call);
+            history.observed_outage = true;
+            self.destinations[destination as usize].count_during_outage += 1;
+        } else if now >= phases.recovery_start {
+            let call = CallAfterOutage {
+                since_recovery: now - phases.recovery_start,
+                observed_outage: history.observed_outage,
+            };
+            self.destinations[destination as usize].after_outage.push(call);
         }
     }
 
     /// Cancels an attempt. Its regular answer is ignored if it comes later.
     fn cancel(&mut self, id: MessageId, attempt: u32) {
-        let call = Call { id, attempt, target: TargetId::default(), sent: self.now };
-        self.schedule_at(self.now + 1, Scheduled::Answer { call, end: End::Cancelled });
+        let call = Call { id, attempt, target: TargetId::default(), sent_at: self.now };
+        self.schedule_at(self.now + 1, ScheduledEvent::CallEnd { call, end: CallEnd::Cancelled });
     }
 
-    fn end_undelivered(&mut self, replica: usize, id: MessageId) {
+    fn record_not_delivered(&mut self, replica: usize, id: MessageId) {
         let message = &mut self.messages[id as usize];
-        if message.stage == Stage::Underway {
-            message.stage = Stage::Ended;
-            self.replica(replica).messages_underway -= 1;
+        if message.state == MessageState::Pending {
+            message.state = MessageState::NotDelivered;
+            self.replica(replica).pending_messages -= 1;
         }
     }
 }
--- a/scale/src/full_set.rs
+++ b/scale/src/full_set.rs
@@ -48,15 +48,15 @@
     }
 
     fn command(&self, experiment: &str) -> Command {
-        let mut words: Vec<OsString> = vec!["scale".into(), experiment.into()];
+        let mut arguments: Vec<OsString> = vec!["scale".into(), experiment.into()];
         if let Some(folder) = &self.scenarios {
-            words.push("--scenario".into());
-            words.push(folder.join(experiment).with_extension("toml").into());
+            arguments.push("--scenario".into());
+            arguments.push(folder.join(experiment).with_extension("toml").into());
         }
         if let Some(folder) = &self.json {
-            words.push("--json".into());
-            words.push(folder.join(experiment).with_extension("jsonl").into());
+            arguments.push("--json".into());
+            arguments.push(folder.join(experiment).with_extension("jsonl").into());
         }
-        Arguments::parse_from(words).into_command()
+        Arguments::parse_from(arguments).into_command()
     }
 }
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod bounded_integer;
 pub mod call;
 pub mod cli;
-pub mod clock;
+pub mod cpu_clock;
 pub mod deployment;
 pub mod discovery;
 pub mod error;
--- a/scale/src/memory.rs
+++ b/scale/src/memory.rs
@@ -4,15 +4,15 @@
 use procfs::{Current, Meminfo, ProcError, ProcResult};
 
 /// The line of the process's memory map that is read.
-const ANONYMOUS: &str = "Anonymous";
+const ANONYMOUS_MEMORY_KEY: &str = "Anonymous";
 
 /// Bytes of anonymous memory of the process, its heap before all, that are resident now.
 ///
 /// The sum over the memory map is exact. The counter of `statm` may be off by some dozens of pages for each processor.
 pub fn anonymous_bytes() -> ProcResult<u64> {
     let rollup = Process::myself()?.smaps_rollup()?;
-    let bytes = rollup.memory_map_rollup.iter().find_map(|map| map.extension.map.get(ANONYMOUS));
-    bytes.copied().ok_or_else(|| ProcError::Other(format!("smaps_rollup has no line {ANONYMOUS}")))
+    let bytes = rollup.memory_map_rollup.iter().find_map(|map| map.extension.map.get(ANONYMOUS_MEMORY_KEY));
+    bytes.copied().ok_or_else(|| ProcError::Other(format!("smaps_rollup has no line {ANONYMOUS_MEMORY_KEY}")))
 }
 
 /// Bytes of memory that the machine has.
--- a/scale/src/policy/experiment.rs
+++ b/scale/src/policy/experiment.rs
@@ -35,7 +35,7 @@
     if let Some(records) = records {
         write_records(records, &plan, &skipped, &series)?;
     }
-    outcome.stopped.map_or(Ok(()), Err)
+    outcome.stop_error.map_or(Ok(()), Err)
 }
 
 fn heading(plan: &Plan) -> String {
@@ -64,13 +64,13 @@
 
 /// What was measured, and why the rest was not.
 #[derive(Debug)]
-struct Outcome {
+struct ExperimentOutcome {
     results: Vec<PointResult>,
-    stopped: Option<ScaleError>,
+    stop_error: Option<ScaleError>,
 }
 
 /// Runs one series after the other, until a run fails or the user interrupts.
-fn run_points(plan: &Plan, points: &[Point], interrupt: &Interrupt) -> Outcome {
+fn run_points(plan: &Plan, points: &[Point], interrupt: &Interrupt) -> ExperimentOutcome {
     let progress = progress_bar(points.len() as u64 * plan.runs);
     let mut results: Vec<_> = points.iter().copied().map(PointResult::new).collect();
     let by_series = results.chunk_by_mut(|one, next| one.point.series == next.point.series);
@@ -78,7 +78,7 @@
         by_series.into_iter().try_for_each(|series| run_series(plan, series, interrupt, &progress));
     progress.finish_and_clear();
     results.retain(|result| !result.runs.is_empty());
-    Outcome { results, stopped: finished.err() }
+    ExperimentOutcome { results, stop_error: finished.err() }
 }
 
 /// Makes all runs of a series. The points take turns, so that a change in the load of the machine affects all of them
@@ -90,7 +90,7 @@
         for result in series.iter_mut() {
             let point = result.point;
             progress.set_message(format!("{} {}", point.size(), point.series));
-            let Some(measurement) = run_process::start(&plan.run_plan(point), interrupt)? else {
+            let Some(measurement) = run_process::spawn_run(&plan.run_plan(point), interrupt)? else {
                 let (done, planned) = (progress.position(), progress.length().unwrap_or_default());
                 return Err(ScaleError::Interrupted { done, planned });
             };
@@ -113,12 +113,12 @@
 impl<'a> SeriesResults<'a> {
     /// All series that have results.
     fn collect(results: &'a [PointResult]) -> Vec<SeriesResults<'a>> {
-        let of_series = |series: &Series| {
+        let series_results = |series: &Series| {
             let results: Vec<_> = results.iter().filter(|result| result.point.series == *series).collect();
             let slopes = slopes(&results);
             SeriesResults { series: *series, results, slopes }
         };
-        let all = Series::value_variants().iter().map(of_series);
+        let all = Series::value_variants().iter().map(series_results);
         all.filter(|series| !series.results.is_empty()).collect()
     }
 }
--- a/scale/src/policy/mod.rs
+++ b/scale/src/policy/mod.rs
@@ -24,5 +24,5 @@
 
 /// Makes the one run whose plan stands on standard input, and writes what it measured to standard output.
 pub fn run_once() -> Result<(), ScaleError> {
-    run_process::serve()
+    run_process::run_from_stdin()
 }
--- a/scale/src/policy/plan.rs
+++ b/scale/src/policy/plan.rs
@@ -15,12 +15,12 @@
 
 /// The built-in scenario, and the file name in its errors.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/policy.toml");
-const BUILT_IN_NAME: &str = "scale/scenarios/policy.toml";
+const BUILT_IN_SCENARIO_NAME: &str = "scale/scenarios/policy.toml";
 /// The policy keeps part of the room for held messages free: a backlog may take up this percentage of it.
-const MAX_HELD_PERCENT: u64 = 90;
+const MAX_BACKLOG_PERCENT: u64 = 90;
 /// Upper estimates of memory, in bytes, for points that might not fit the machine.
-const ESTIMATED_BYTES_PER_LISTED: u64 = 4_096;
-const ESTIMATED_BYTES_PER_HELD: u64 = 1_024;
+const ESTIMATED_BYTES_PER_LISTED_DESTINATION: u64 = 4_096;
+const ESTIMATED_BYTES_PER_HELD_MESSAGE: u64 = 1_024;
 /// A point may take up one part in so many of the machine's memory.
 const MEMORY_DIVISOR: u64 = 2;
 
@@ -68,11 +68,13 @@
 
     /// Why the point is skipped on a machine with this much memory; none if it is not.
     pub fn reason_to_skip(&self, machine_bytes: u64) -> Option<String> {
-        let listed_bytes = self.listed * ESTIMATED_BYTES_PER_LISTED;
-        let estimate = listed_bytes + self.backlog * ESTIMATED_BYTES_PER_HELD;
-        let allowed = machine_bytes / MEMORY_DIVISOR;
-        (estimate > allowed).then(|| {
-            format!("estimated at {estimate} bytes of memory, over half of the machine's {machine_bytes}")
+        let listed_bytes = self.listed * ESTIMATED_BYTES_PER_LISTED_DESTINATION;
+        let estimated_bytes = listed_bytes + self.backlog * ESTIMATED_BYTES_PER_HELD_MESSAGE;
+        let max_bytes = machine_bytes / MEMORY_DIVISOR;
+        (estimated_bytes > max_bytes).then(|| {
+            format!(
+                "estimated at {estimated_bytes} bytes of memory, over half of the machine's {machine_bytes}"
+            )
         })
     }
 }
@@ -85,7 +87,8 @@
     pub backlog_destinations: u64,
     pub request_interval: Micros,
     pub service_time: Micros,
-    pub warm_up_answers: u64,
+    #[serde(rename = "warm_up_answers")]
+    pub warm_up_responses: u64,
     pub min_requests: u64,
     pub max_requests: u64,
     /// Processor time after which no more requests are measured.
@@ -116,8 +119,11 @@
 impl Plan {
     /// The plan that the scenario and the arguments give.
     pub fn load(arguments: &PolicyArguments) -> Result<Plan, ScaleError> {
-        let file =
-            ScenarioFile::load(arguments.common.scenario.as_deref(), BUILT_IN_NAME, BUILT_IN_SCENARIO)?;
+        let file = ScenarioFile::load(
+            arguments.common.scenario.as_deref(),
+            BUILT_IN_SCENARIO_NAME,
+            BUILT_IN_SCENARIO,
+        )?;
         let scenario: PolicyScenario = file.parse()?;
         let runs = arguments.runs.unwrap_or(scenario.runs).get();
         let time_budget = Duration::from_millis(scenario.workload.time_budget_ms.get());
@@ -161,7 +167,7 @@
         backlog_destinations: scenario.backlog.destinations.get(),
         request_interval: workload.request_interval_us.get(),
         service_time: workload.service_time_us.get(),
-        warm_up_answers: workload.warm_up_answers.get(),
+        warm_up_responses: workload.warm_up_responses.get(),
         min_requests,
         max_requests: workload.max_requests.get().max(min_requests),
         request_time_budget: time_budget.div_f64(runs as f64),
@@ -206,10 +212,10 @@
         return Err(file.error_at(series.listed.span(), "backlog.listed", reason).into());
     }
     let max_held = scenario.policy.max_held.get();
-    let most = max_held * MAX_HELD_PERCENT / 100;
+    let max_backlog = max_held * MAX_BACKLOG_PERCENT / 100;
     let check = |backlog: HeldCount| match backlog.get() {
-        backlog if backlog > most => {
-            Err(format!("{backlog} is more than {most}, {MAX_HELD_PERCENT} % of policy.max_held"))
+        backlog if backlog > max_backlog => {
+            Err(format!("{backlog} is more than {max_backlog}, {MAX_BACKLOG_PERCENT} % of policy.max_held"))
         }
         backlog => Ok(Point { series: Series::Backlog, listed, active, backlog }),
     };
@@ -218,15 +224,15 @@
 
 /// The points of the argument, or else those of the scenario, each checked.
 fn checked_points<T: Copy>(
-    file: &ScenarioFile, (key, in_scenario): (&str, &[Spanned<T>]), (argument, given): (&'static str, &[T]),
-    check: impl Fn(T) -> Result<Point, String>,
+    file: &ScenarioFile, (key, scenario_counts): (&str, &[Spanned<T>]),
+    (argument, argument_counts): (&'static str, &[T]), check: impl Fn(T) -> Result<Point, String>,
 ) -> Result<Vec<Point>, ScaleError> {
-    if given.is_empty() {
-        let points = in_scenario.iter().map(|count| {
+    if argument_counts.is_empty() {
+        let points = scenario_counts.iter().map(|count| {
             check(*count.get_ref()).map_err(|reason| file.error_at(count.span(), key, reason).into())
         });
         return points.collect();
     }
-    let points = given.iter().map(|count| check(*count));
+    let points = argument_counts.iter().map(|count| check(*count));
     points.map(|point| point.map_err(|reason| ScaleError::Argument { argument, reason })).collect()
 }
--- a/scale/src/policy/results.rs
+++ b/scale/src/policy/results.rs
@@ -96,14 +96,14 @@
     /// The figures over all runs; none if there is no run.
     pub fn summary(&self) -> Option<PointSummary> {
         Some(PointSummary {
-            request_microseconds: self.spread(|run| run.request_nanos / NANOS_PER_MICRO)?,
-            request_p99_microseconds: self.spread(|run| run.request_p99_nanos / NANOS_PER_MICRO)?,
-            requests_measured: self.spread(|run| run.requests_measured as f64)?,
+            request_microseconds: self.summarize(|run| run.request_nanos / NANOS_PER_MICRO)?,
+            request_p99_microseconds: self.summarize(|run| run.request_p99_nanos / NANOS_PER_MICRO)?,
+            requests_measured: self.summarize(|run| run.requests_measured as f64)?,
             idle_maintenance_milliseconds_per_second: self
-                .spread(|run| run.idle_maintenance_nanos / NANOS_PER_MILLI)?,
+                .summarize(|run| run.idle_maintenance_nanos / NANOS_PER_MILLI)?,
             warm_maintenance_milliseconds_per_second: self
-                .spread(|run| run.warm_maintenance_nanos / NANOS_PER_MILLI)?,
-            memory_bytes: self.spread(|run| run.memory_bytes as f64)?,
+                .summarize(|run| run.warm_maintenance_nanos / NANOS_PER_MILLI)?,
+            memory_bytes: self.summarize(|run| run.memory_bytes as f64)?,
             counts: self.runs.first()?.counts,
         })
     }
@@ -113,7 +113,7 @@
         Some(RecordBody::Point { point: self.point, runs: self.runs.len(), summary: self.summary()? })
     }
 
-    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+    fn summarize(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
         SampleSummary::from_values(self.runs.iter().map(figure))
     }
 }
@@ -185,8 +185,8 @@
 /// One slope for each run, through the same run of all points.
 fn slope(results: &[&PointResult], runs: usize, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
     let points = |run: usize| {
-        let of_run = results.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
-        of_run.collect()
+        let run_points = results.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
+        run_points.collect()
     };
     slope_over_runs(runs, points)
 }
--- a/scale/src/policy/run.rs
+++ b/scale/src/policy/run.rs
@@ -1,7 +1,7 @@
 //! One run of a point: a fresh policy is brought to the size of the point and measured.
 
-use crate::clock::thread_time;
-use crate::deployment::{to_u32, SECOND};
+use crate::cpu_clock::thread_cpu_time;
+use crate::deployment::{saturating_u32, SECOND};
 use crate::error::ScaleError;
 use crate::memory::anonymous_bytes;
 use crate::policy::plan::{RunPlan, Traffic};
@@ -17,12 +17,12 @@
 /// Span of virtual time over which periodic maintenance is measured.
 const MAINTENANCE_SPAN: Micros = SECOND;
 /// How long destinations with a backlog ask for: longer than a run.
-const PAUSE: Micros = 3_600 * SECOND;
+const BACKLOG_RETRY_AFTER: Micros = 3_600 * SECOND;
 /// Greatest processor time that the histogram of requests records, and its significant digits.
 const HISTOGRAM_MAX: Duration = Duration::from_secs(3_600);
 const HISTOGRAM_DIGITS: u8 = 3;
 /// The share of requests that the upper figure of a run stands above.
-const UPPER_QUANTILE: f64 = 0.99;
+const P99_QUANTILE: f64 = 0.99;
 
 /// What one run measured.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -45,22 +45,23 @@
 
 /// Makes a run.
 pub(super) fn measure(plan: &RunPlan) -> Result<RunMeasurement, ScaleError> {
-    let destinations = Destinations::choose(plan);
+    let destinations = SelectedDestinations::select(plan);
     let memory_before = anonymous_bytes()?;
-    let mut simulation = Simulation::new(plan.seed, plan.policy.to_policy(), plan.traffic.service_time);
-    simulation.list(to_u32(plan.point.listed), plan.policy.listed_rate.get() as f64);
-    let idle_maintenance = maintenance(&mut simulation);
+    let mut simulation =
+        Simulation::new(plan.seed, plan.policy.to_policy_settings(), plan.traffic.service_time);
+    simulation.publish_list(saturating_u32(plan.point.listed), plan.policy.listed_rate.get() as f64);
+    let idle_maintenance = measure_maintenance(&mut simulation);
     warm_up(&mut simulation, plan, &destinations.active);
-    fill_backlog(&mut simulation, plan, &destinations.paused)?;
+    fill_backlog(&mut simulation, plan, &destinations.backlogged)?;
     let memory_bytes = anonymous_bytes()?.saturating_sub(memory_before);
-    let requests = requests(&mut simulation, &plan.traffic, &destinations.active);
-    let warm_maintenance = maintenance(&mut simulation);
+    let requests = measure_requests(&mut simulation, &plan.traffic, &destinations.active);
+    let warm_maintenance = measure_maintenance(&mut simulation);
     Ok(RunMeasurement {
-        request_nanos: requests.mean,
-        request_p99_nanos: requests.upper,
+        request_nanos: requests.mean_nanos,
+        request_p99_nanos: requests.p99_nanos,
         requests_measured: requests.count,
-        idle_maintenance_nanos: nanos(idle_maintenance),
-        warm_maintenance_nanos: nanos(warm_maintenance),
+        idle_maintenance_nanos: as_nanos(idle_maintenance),
+        warm_maintenance_nanos: as_nanos(warm_maintenance),
         memory_bytes,
         counts: requests.counts,
     })
@@ -68,81 +69,83 @@
 
 /// The destinations with traffic or a backlog, spread at random over the list.
 #[derive(Debug)]
-struct Destinations {
+struct SelectedDestinations {
     active: Vec<DestinationId>,
-    paused: Vec<DestinationId>,
+    backlogged: Vec<DestinationId>,
 }
 
-impl Destinations {
-    fn choose(plan: &RunPlan) -> Destinations {
+impl SelectedDestinations {
+    fn select(plan: &RunPlan) -> SelectedDestinations {
         let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
         let point = &plan.point;
-        let paused = plan.traffic.backlog_destinations.min(point.backlog);
-        let chosen = index::sample(&mut random, point.listed as usize, (point.active + paused) as usize);
+        let backlogged = plan.traffic.backlog_destinations.min(point.backlog);
+        let chosen = index::sample(&mut random, point.listed as usize, (point.active + backlogged) as usize);
         let mut active: Vec<DestinationId> = chosen.iter().map(|number| number as DestinationId).collect();
-        let paused = active.split_off(point.active as usize);
-        Destinations { active, paused }
+        let backlogged = active.split_off(point.active as usize);
+        SelectedDestinations { active, backlogged }
     }
 }
 
 /// Processor time of periodic maintenance while no traffic comes.
-fn maintenance(simulation: &mut Simulation) -> Duration {
-    let before = simulation.maintenance_time();
+fn measure_maintenance(simulation: &mut Simulation) -> Duration {
+    let before = simulation.maintenance_cpu_time();
     simulation.run_for(MAINTENANCE_SPAN);
-    simulation.maintenance_time() - before
+    simulation.maintenance_cpu_time() - before
 }
 
 /// Serves each active destination a number of requests, as many at a time as there are slots.
 fn warm_up(simulation: &mut Simulation, plan: &RunPlan, active: &[DestinationId]) {
-    simulation.use_class(plan.traffic.request_class);
-    for _ in 0..plan.traffic.warm_up_answers {
-        for together in active.chunks(plan.policy.slots.get() as usize) {
-            simulation.serve_each(together);
+    simulation.set_request_class(plan.traffic.request_class);
+    for _ in 0..plan.traffic.warm_up_responses {
+        for batch in active.chunks(plan.policy.slots.get() as usize) {
+            simulation.submit_each_and_wait(batch);
         }
     }
 }
 
 /// Submits the backlog, for destinations that first have each asked for a pause.
 fn fill_backlog(
-    simulation: &mut Simulation, plan: &RunPlan, paused: &[DestinationId],
+    simulation: &mut Simulation, plan: &RunPlan, backlogged: &[DestinationId],
 ) -> Result<(), ScaleError> {
-    let wanted = plan.point.backlog;
-    simulation.use_class(plan.traffic.backlog_class);
-    simulation.pause(paused.iter().copied(), PAUSE);
-    for together in paused.chunks(plan.policy.slots.get() as usize) {
-        simulation.serve_each(together);
+    let requested = plan.point.backlog;
+    simulation.set_request_class(plan.traffic.backlog_class);
+    simulation.reject_with_retry_after(backlogged.iter().copied(), BACKLOG_RETRY_AFTER);
+    for batch in backlogged.chunks(plan.policy.slots.get() as usize) {
+        simulation.submit_each_and_wait(batch);
     }
-    let rest = wanted as usize - paused.len();
-    simulation.hold_each(paused.iter().copied().cycle().take(rest));
+    let rest = requested as usize - backlogged.len();
+    simulation.submit_each(backlogged.iter().copied().cycle().take(rest));
     let held = simulation.held();
-    if held != wanted {
-        return Err(ScaleError::BacklogNotHeld { wanted, held });
+    if held != requested {
+        return Err(ScaleError::BacklogNotHeld { requested, held });
     }
     Ok(())
 }
 
 /// What the measured requests showed.
 #[derive(Debug)]
-struct Requests {
+struct RequestMeasurement {
     count: u64,
-    mean: f64,
-    upper: f64,
+    mean_nanos: f64,
+    p99_nanos: f64,
     counts: Counts,
 }
 
 /// Sends requests to the active destinations in turn until the time budget is used up.
-fn requests(simulation: &mut Simulation, traffic: &Traffic, active: &[DestinationId]) -> Requests {
-    simulation.use_class(traffic.request_class);
-    simulation.keep_finished();
-    let start = thread_time();
+fn measure_requests(
+    simulation: &mut Simulation, traffic: &Traffic, active: &[DestinationId],
+) -> RequestMeasurement {
+    simulation.set_request_class(traffic.request_class);
+    simulation.record_cpu_times();
+    let start = thread_cpu_time();
     let mut counts = simulation.counts();
     let mut sent = 0;
     for destination in active.iter().cycle() {
-        let in_budget = thread_time() - start < traffic.request_time_budget;
+        let in_budget = thread_cpu_time() - start < traffic.request_time_budget;
         if sent >= traffic.max_requests || (sent >= traffic.min_requests && !in_budget) {
             break;
         }
-        simulation.request_after(traffic.request_interval, *destination);
+        simulation.schedule_request(traffic.request_interval, *destination);
         simulation.run_for(traffic.request_interval);
         sent += 1;
         if sent == traffic.min_requests {
@@ -150,24 +153,24 @@
         }
     }
     simulation.run_until_idle();
-    summary(&simulation.take_finished(), counts)
+    summarize(&simulation.take_cpu_times(), counts)
 }
 
-fn summary(costs: &[Duration], counts: Counts) -> Requests {
+fn summarize(cpu_times: &[Duration], counts: Counts) -> RequestMeasurement {
     let max = HISTOGRAM_MAX.as_nanos() as u64;
     let mut histogram = Histogram::<u64>::new_with_max(max, HISTOGRAM_DIGITS).expect("the bounds are valid");
-    for cost in costs {
-        histogram.saturating_record(cost.as_nanos() as u64);
+    for cpu_time in cpu_times {
+        histogram.saturating_record(cpu_time.as_nanos() as u64);
     }
-    let total: Duration = costs.iter().sum();
-    Requests {
-        count: costs.len() as u64,
-        mean: nanos(total) / costs.len().max(1) as f64,
-        upper: histogram.value_at_quantile(UPPER_QUANTILE) as f64,
+    let total: Duration = cpu_times.iter().sum();
+    RequestMeasurement {
+        count: cpu_times.len() as u64,
+        mean_nanos: as_nanos(total) / cpu_times.len().max(1) as f64,
+        p99_nanos: histogram.value_at_quantile(P99_QUANTILE) as f64,
         counts,
     }
 }
 
-fn nanos(duration: Duration) -> f64 {
+fn as_nanos(duration: Duration) -> f64 {
     duration.as_nanos() as f64
 }
--- a/scale/src/policy/run_process.rs
+++ b/scale/src/policy/run_process.rs
@@ -19,7 +19,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Makes the run whose plan stands on standard input.
-pub(super) fn serve() -> Result<(), ScaleError> {
+pub(super) fn run_from_stdin() -> Result<(), ScaleError> {
     let plan: RunPlan = serde_json::from_reader(io::stdin().lock())?;
     let measurement = run::measure(&plan)?;
     let mut output = io::stdout().lock();
@@ -29,7 +29,7 @@
 }
 
 /// Makes a run in a new process; none if the user interrupts it.
-pub(super) fn start(plan: &RunPlan, interrupt: &Interrupt) -> Result<Option<RunMeasurement>, ScaleError> {
+pub(super) fn spawn_run(plan: &RunPlan, interrupt: &Interrupt) -> Result<Option<RunMeasurement>, ScaleError> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg(RUN_SUBCOMMAND)
         .stdin(Stdio::piped())
@@ -39,7 +39,7 @@
     if let Some(input) = child.stdin.take() {
         serde_json::to_writer(input, plan)?;
     }
-    if !wait(&mut child, interrupt)? {
+    if !wait_unless_interrupted(&mut child, interrupt)? {
         return Ok(None);
     }
     let output = child.wait_with_output()?;
@@ -55,7 +55,7 @@
 }
 
 /// Waits for the process to end, or ends it where the user interrupts; gives whether it ended by itself.
-fn wait(child: &mut Child, interrupt: &Interrupt) -> io::Result<bool> {
+fn wait_unless_interrupted(child: &mut Child, interrupt: &Interrupt) -> io::Result<bool> {
     while child.try_wait()?.is_none() {
         if interrupt.is_received() {
             child.kill()?;
--- a/scale/src/policy/settings.rs
+++ b/scale/src/policy/settings.rs
@@ -52,7 +52,8 @@
     pub backlog_class: Spanned<String>,
     pub request_interval_us: ShortMicroseconds,
     pub service_time_us: ShortMicroseconds,
-    pub warm_up_answers: BoundedInteger<0, 10_000>,
+    #[serde(rename = "warm_up_answers")]
+    pub warm_up_responses: BoundedInteger<0, 10_000>,
     pub min_requests: RequestCount,
     pub max_requests: RequestCount,
     pub time_budget_ms: PositiveMilliseconds,
@@ -92,7 +93,7 @@
     }
 
     /// The settings in the form that the delivery policy takes.
-    pub fn to_policy(&self) -> Settings {
+    pub fn to_policy_settings(&self) -> Settings {
         let deployment = Deployment {
             replicas: self.replicas.get(),
             slots: self.slots.get(),
--- a/scale/src/policy/simulation.rs
+++ b/scale/src/policy/simulation.rs
@@ -4,7 +4,7 @@
 //! the traffic of the same time: so the cost of periodic maintenance is separate from that of requests.
 
 use crate::call::Call;
-use crate::clock::ProcessorClock;
+use crate::cpu_clock::ThreadCpuClock;
 use crate::policy_under_test::PolicyUnderTest;
 use crate::service_time::random_service_time;
 use hatchline::{Action, DestinationId, Endpoint, Event, ListKind, MessageId, Micros, Outcome, TargetId};
@@ -38,39 +38,39 @@
 
 /// How far a message has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Stage {
+enum MessageState {
     #[default]
-    Underway,
+    Pending,
     Delivered,
     /// Its destination has asked for a pause, which outlasts the run.
-    Paused,
+    Rejected,
 }
 
 /// A message that is on its way.
 #[derive(Debug, Default)]
-struct InFlight {
+struct TrackedMessage {
     attempts: u32,
     /// The attempt that is out.
-    open: Option<u32>,
-    stage: Stage,
-    cost: Duration,
+    attempt_in_flight: Option<u32>,
+    state: MessageState,
+    cpu_time: Duration,
 }
 
 /// What is to happen. Timers stand first, so that they go before traffic of the same time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Scheduled {
+enum ScheduledEvent {
     Timer { token: u32 },
     Request { id: MessageId, destination: DestinationId },
-    Answer { call: Call, answer: Answer },
+    CallEnd { call: Call, end: CallEnd },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Answer {
-    Ok,
+enum CallEnd {
+    Succeeded,
     TimedOut,
     Cancelled,
     /// Refused, with a Retry-After of this span.
-    RetryAfter(Micros),
+    Rejected(Micros),
 }
 
 /// A forwarder with its destinations; each has one endpoint, of the same number.
@@ -78,23 +78,23 @@
 pub(super) struct Simulation {
     policy: PolicyUnderTest,
     now: Micros,
-    processor: ProcessorClock,
+    cpu_clock: ThreadCpuClock,
     random: ChaCha8Rng,
-    schedule: BinaryHeap<Reverse<(Micros, Scheduled)>>,
-    in_flight: HashMap<MessageId, InFlight>,
-    paused: HashSet<DestinationId>,
-    pause: Micros,
-    class: u32,
+    schedule: BinaryHeap<Reverse<(Micros, ScheduledEvent)>>,
+    tracked: HashMap<MessageId, TrackedMessage>,
+    rejecting: HashSet<DestinationId>,
+    retry_after: Micros,
+    request_class: u32,
     deadlines: Vec<Micros>,
     listed_rate: ListedRate,
     service_time: Micros,
     /// Where all calls take the same time.
-    service_time_now: Option<Micros>,
+    fixed_service_time: Option<Micros>,
     last_id: MessageId,
     counts: Counts,
-    maintenance_time: Duration,
+    maintenance_cpu_time: Duration,
     /// Processor time of each message delivered, if it is kept.
-    finished: Option<Vec<Duration>>,
+    delivered_cpu_times: Option<Vec<Duration>>,
     actions: Vec<Action>,
 }
 
@@ -103,21 +103,21 @@
     pub fn new(seed: u64, settings: Settings, service_time: Micros) -> Simulation {
         Simulation {
             now: START,
-            processor: ProcessorClock::calibrated(),
+            cpu_clock: ThreadCpuClock::calibrated(),
             random: ChaCha8Rng::seed_from_u64(seed),
             schedule: BinaryHeap::new(),
-            in_flight: HashMap::new(),
-            paused: HashSet::new(),
-            pause: 0,
-            class: 0,
+            tracked: HashMap::new(),
+            rejecting: HashSet::new(),
+            retry_after: 0,
+            request_class: 0,
             deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
             listed_rate: settings.listed_rate,
             service_time,
-            service_time_now: None,
+            fixed_service_time: None,
             last_id: 0,
             counts: Counts::default(),
-            maintenance_time: Duration::ZERO,
-            finished: None,
+            maintenance_cpu_time: Duration::ZERO,
+            delivered_cpu_times: None,
             actions: Vec::new(),
             policy: PolicyUnderTest::new(START, seed, settings),
         }
@@ -129,8 +129,8 @@
     }
 
     /// Processor time of timers so far, with the decisions that followed them.
-    pub fn maintenance_time(&self) -> Duration {
-        self.maintenance_time
+    pub fn maintenance_cpu_time(&self) -> Duration {
+        self.maintenance_cpu_time
     }
 
     /// Messages that are neither delivered nor ended.
@@ -139,22 +139,22 @@
     }
 
     /// Keeps the processor time of each message that is delivered from now on.
-    pub fn keep_finished(&mut self) {
-        self.finished = Some(Vec::new());
+    pub fn record_cpu_times(&mut self) {
+        self.delivered_cpu_times = Some(Vec::new());
     }
 
     /// Processor time of each message that was delivered since it is kept.
-    pub fn take_finished(&mut self) -> Vec<Duration> {
-        self.finished.take().unwrap_or_default()
+    pub fn take_cpu_times(&mut self) -> Vec<Duration> {
+        self.delivered_cpu_times.take().unwrap_or_default()
     }
 
     /// Requests from now on are of this class.
-    pub fn use_class(&mut self, class: u32) {
-        self.class = class;
+    pub fn set_request_class(&mut self, class: u32) {
+        self.request_class = class;
     }
 
     /// Passes in the whole list of destinations, numbered from 0.
-    pub fn list(&mut self, count: DestinationId, rate: f64) {
+    pub fn publish_list(&mut self, count: DestinationId, rate: f64) {
         let rate = if self.listed_rate == ListedRate::Unknown { 0.0 } else { rate };
         let endpoint = |number| Endpoint { target: number, destination: number, rate, ..Endpoint::default() };
         let endpoints = (0..count).map(endpoint).collect();
@@ -162,42 +162,44 @@
     }
 
     /// These destinations answer each call with a Retry-After of this span from now on.
-    pub fn pause(&mut self, destinations: impl IntoIterator<Item = DestinationId>, span: Micros) {
-        self.paused.extend(destinations);
-        self.pause = span;
+    pub fn reject_with_retry_after(
+        &mut self, destinations: impl IntoIterator<Item = DestinationId>, retry_after: Micros,
+    ) {
+        self.rejecting.extend(destinations);
+        self.retry_after = retry_after;
     }
 
     /// Submits a request for each of the destinations, all at one moment, and lets time pass until none of them is
     /// on its way. All calls take the same time.
-    pub fn serve_each(&mut self, destinations: &[DestinationId]) {
-        self.service_time_now = Some(self.random_service_time());
+    pub fn submit_each_and_wait(&mut self, destinations: &[DestinationId]) {
+        self.fixed_service_time = Some(self.random_service_time());
         for destination in destinations {
-            self.request_after(1, *destination);
+            self.schedule_request(1, *destination);
         }
         self.run_until_idle();
-        self.service_time_now = None;
+        self.fixed_service_time = None;
     }
 
     /// Submits a request for each of the destinations, all at one moment, and leaves them waiting.
-    pub fn hold_each(&mut self, destinations: impl IntoIterator<Item = DestinationId>) {
+    pub fn submit_each(&mut self, destinations: impl IntoIterator<Item = DestinationId>) {
         let mut events = Vec::new();
         for destination in destinations {
             let id = self.new_id();
-            events.push(self.request(id, destination));
+            events.push(self.request_event(id, destination));
         }
         self.advance(events);
     }
 
     /// Schedules a request. Its message counts as on its way from now on.
-    pub fn request_after(&mut self, span: Micros, destination: DestinationId) {
+    pub fn schedule_request(&mut self, span: Micros, destination: DestinationId) {
         let id = self.new_id();
-        self.in_flight.insert(id, InFlight::default());
-        self.schedule.push(Reverse((self.now + span, Scheduled::Request { id, destination })));
+        self.tracked.insert(id, TrackedMessage::default());
+        self.schedule.push(Reverse((self.now + span, ScheduledEvent::Request { id, destination })));
     }
 
     /// Lets time pass until no message is on its way. Timers fall due on the way.
     pub fn run_until_idle(&mut self) {
-        while !self.in_flight.is_empty() && self.step() {}
+        while !self.tracked.is_empty() && self.step() {}
     }
 
     /// Lets a span pass.
@@ -213,27 +215,27 @@
     pub fn step(&mut self) -> bool {
         let Some(Reverse((at, first))) = self.schedule.pop() else { return false };
         self.now = at;
-        if let Scheduled::Timer { token } = first {
-            self.timer(token);
+        if let ScheduledEvent::Timer { token } = first {
+            self.fire_timer(token);
         } else {
-            self.traffic(first);
+            self.process_traffic(first);
         }
         true
     }
 
-    fn timer(&mut self, token: u32) {
+    fn fire_timer(&mut self, token: u32) {
         self.counts.timers += 1;
-        let spent = self.advance(vec![Event::Timer { token }]);
-        self.maintenance_time += spent;
+        let cpu_time = self.advance(vec![Event::Timer { token }]);
+        self.maintenance_cpu_time += cpu_time;
     }
 
     /// Processes the traffic of this moment.
-    fn traffic(&mut self, first: Scheduled) {
+    fn process_traffic(&mut self, first: ScheduledEvent) {
         let mut events = Vec::new();
         let mut ids = Vec::new();
         let mut next = Some(first);
         while let Some(scheduled) = next {
-            if let Some((id, event)) = self.event(scheduled) {
+            if let Some((id, event)) = self.to_event(scheduled) {
                 events.push(event);
                 ids.push(id);
             }
@@ -243,38 +245,40 @@
         if events.is_empty() {
             return;
         }
-        let spent = self.advance(events);
-        self.share_cost(&ids, spent);
+        let cpu_time = self.advance(events);
+        self.attribute_cpu_time(&ids, cpu_time);
     }
 
     /// Gives each message of a moment its part of the moment's cost, and drops those that are delivered or paused.
-    fn share_cost(&mut self, ids: &[MessageId], spent: Duration) {
-        let part = spent.div_f64(ids.len() as f64);
+    fn attribute_cpu_time(&mut self, ids: &[MessageId], cpu_time: Duration) {
+        let share = cpu_time.div_f64(ids.len() as f64);
         for id in ids {
-            let Some(in_flight) = self.in_flight.get_mut(id) else { continue };
-            in_flight.cost += part;
-            if in_flight.stage == Stage::Delivered {
-                self.finished.iter_mut().for_each(|finished| finished.push(in_flight.cost));
+            let Some(message) = self.tracked.get_mut(id) else { continue };
+            message.cpu_time += share;
+            if message.state == MessageState::Delivered {
+                self.delivered_cpu_times
+                    .iter_mut()
+                    .for_each(|delivered_cpu_times| delivered_cpu_times.push(message.cpu_time));
             }
-            if in_flight.stage != Stage::Underway {
-                self.in_flight.remove(id);
+            if message.state != MessageState::Pending {
+                self.tracked.remove(id);
             }
         }
     }
 
     /// The event for the policy, and its message; none for an answer to an attempt that is over.
-    fn event(&mut self, scheduled: Scheduled) -> Option<(MessageId, Event)> {
+    fn to_event(&mut self, scheduled: ScheduledEvent) -> Option<(MessageId, Event)> {
         match scheduled {
-            Scheduled::Timer { .. } => None,
-            Scheduled::Request { id, destination } => Some((id, self.request(id, destination))),
-            Scheduled::Answer { call, answer } => Some((call.id, self.answer(call, answer)?)),
+            ScheduledEvent::Timer { .. } => None,
+            ScheduledEvent::Request { id, destination } => Some((id, self.request_event(id, destination))),
+            ScheduledEvent::CallEnd { call, end } => Some((call.id, self.call_end_event(call, end)?)),
         }
     }
 
-    fn request(&mut self, id: MessageId, destination: DestinationId) -> Event {
+    fn request_event(&mut self, id: MessageId, destination: DestinationId) -> Event {
         self.counts.requests += 1;
-        let expires = self.now + self.deadlines[self.class as usize];
-        Event::Request { id, class: self.class, destination, order_key: 0, expires }
+        let expires = self.now + self.deadlines[self.request_class as usize];
+        Event::Request { id, class: self.request_class, destination, order_key: 0, expires }
     }
 
     fn new_id(&mut self) -> MessageId {
@@ -282,49 +286,49 @@
         self.last_id
     }
 
-    fn answer(&mut self, call: Call, answer: Answer) -> Option<Event> {
-        let in_flight = self.in_flight.get_mut(&call.id);
-        let in_flight = in_flight.filter(|in_flight| in_flight.open == Some(call.attempt))?;
-        in_flight.open = None;
-        let (outcome, wait) = match answer {
-            Answer::Ok => (Outcome::Ok, 0),
-            Answer::TimedOut => (Outcome::TimedOut, 0),
-            Answer::Cancelled => (Outcome::Cancelled, 0),
-            Answer::RetryAfter(span) => (Outcome::Rejected, span),
+    fn call_end_event(&mut self, call: Call, end: CallEnd) -> Option<Event> {
+        let message = self.tracked.get_mut(&call.id);
+        let message = message.filter(|message| message.attempt_in_flight == Some(call.attempt))?;
+        message.attempt_in_flight = None;
+        let (outcome, retry_after) = match end {
+            CallEnd::Succeeded => (Outcome::Ok, 0),
+            CallEnd::TimedOut => (Outcome::TimedOut, 0),
+            CallEnd::Cancelled => (Outcome::Cancelled, 0),
+            CallEnd::Rejected(span) => (Outcome::Rejected, span),
         };
-        in_flight.stage = match answer {
-            Answer::Ok => Stage::Delivered,
-            Answer::RetryAfter(_) => Stage::Paused,
-            Answer::TimedOut | Answer::Cancelled => Stage::Underway,
+        message.state = match end {
+            CallEnd::Succeeded => MessageState::Delivered,
+            CallEnd::Rejected(_) => MessageState::Rejected,
+            CallEnd::TimedOut | CallEnd::Cancelled => MessageState::Pending,
         };
-        let ended = answer == Answer::Ok;
-        self.counts.delivered += u64::from(ended);
-        Some(call.end_event(self.now, outcome, ended, wait))
+        let is_delivered = end == CallEnd::Succeeded;
+        self.counts.delivered += u64::from(is_delivered);
+        Some(call.end_event(self.now, outcome, is_delivered, retry_after))
     }
 
     /// Passes in the events of this moment and carries out what is decided; gives the policy's processor time.
     fn advance(&mut self, events: Vec<Event>) -> Duration {
         let mut actions = std::mem::take(&mut self.actions);
         let (policy, now) = (&mut self.policy, self.now);
-        let spent = self.processor.time(|| policy.advance(now, events, &mut actions));
+        let cpu_time = self.cpu_clock.time(|| policy.advance(now, events, &mut actions));
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
-        spent
+        cpu_time
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         self.counts.actions += 1;
         match action {
             Action::Send { id, target, until } => self.send(id, target, until),
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
             Action::Refuse { id, .. } | Action::Fail { id } => {
                 self.counts.ended += 1;
-                self.in_flight.remove(&id);
+                self.tracked.remove(&id);
             }
             Action::Timer { after, token } => {
-                self.schedule.push(Reverse((self.now + after.max(1), Scheduled::Timer { token })));
+                self.schedule.push(Reverse((self.now + after.max(1), ScheduledEvent::Timer { token })));
             }
             _ => {}
         }
@@ -332,24 +336,24 @@
 
     fn send(&mut self, id: MessageId, target: TargetId, until: Micros) {
         self.counts.calls += 1;
-        let service_time = self.service_time_now.unwrap_or_else(|| self.random_service_time());
-        let in_flight = self.in_flight.entry(id).or_default();
-        let call = Call { id, attempt: in_flight.attempts, target, sent: self.now };
-        in_flight.open = Some(call.attempt);
-        in_flight.attempts += 1;
-        let answered = self.now + service_time;
-        let (at, answer) = match self.paused.contains(&target) {
-            true => (answered, Answer::RetryAfter(self.pause)),
-            false if answered > until => (until, Answer::TimedOut),
-            false => (answered, Answer::Ok),
+        let service_time = self.fixed_service_time.unwrap_or_else(|| self.random_service_time());
+        let message = self.tracked.entry(id).or_default();
+        let call = Call { id, attempt: message.attempts, target, sent_at: self.now };
+        message.attempt_in_flight = Some(call.attempt);
+        message.attempts += 1;
+        let response_at = self.now + service_time;
+        let (at, end) = match self.rejecting.contains(&target) {
+            true => (response_at, CallEnd::Rejected(self.retry_after)),
+            false if response_at > until => (until, CallEnd::TimedOut),
+            false => (response_at, CallEnd::Succeeded),
         };
-        self.schedule.push(Reverse((at, Scheduled::Answer { call, answer })));
+        self.schedule.push(Reverse((at, ScheduledEvent::CallEnd { call, end })));
     }
 
     /// Cancels an attempt. Its regular answer is ignored if it comes later.
     fn cancel(&mut self, id: MessageId, attempt: u32) {
-        let call = Call { id, attempt, target: TargetId::default(), sent: self.now };
-        let cancelled = Scheduled::Answer { call, answer: Answer::Cancelled };
+        let call = Call { id, attempt, target: TargetId::default(), sent_at: self.now };
+        let cancelled = ScheduledEvent::CallEnd { call, end: CallEnd::Cancelled };
         self.schedule.push(Reverse((self.now + 1, cancelled)));
     }
 
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -12,7 +12,7 @@
 use tempfile::{Builder, NamedTempFile};
 
 /// Mode of the records' file, less what the user's mask takes off.
-const RECORDS_MODE: u32 = 0o666;
+const RECORD_FILE_MODE: u32 = 0o666;
 
 /// A file of records. It appears, or replaces the one of its name, only whole: when it is committed.
 #[derive(Debug)]
@@ -24,15 +24,15 @@
 impl RecordFile {
     /// Starts a file in the folder of its name, so that one that cannot be written is known at once.
     pub fn create(path: &Path) -> Result<RecordFile, ScaleError> {
-        let folder = match path.parent() {
-            Some(folder) if folder != Path::new("") => folder,
+        let directory = match path.parent() {
+            Some(directory) if directory != Path::new("") => directory,
             _ => Path::new("."),
         };
-        let mode = Permissions::from_mode(RECORDS_MODE);
+        let mode = Permissions::from_mode(RECORD_FILE_MODE);
         let temporary = Builder::new()
             .prefix(".scale-records-")
             .permissions(mode)
-            .tempfile_in(folder)
+            .tempfile_in(directory)
             .map_err(|source| write_error(path, source))?;
         Ok(RecordFile { path: path.to_owned(), temporary })
     }
@@ -88,8 +88,8 @@
 }
 
 /// A spread in a cell: median, least and greatest.
-pub fn summary_cell(spread: SampleSummary) -> String {
-    let SampleSummary { median, min, max } = spread;
+pub fn summary_cell(summary: SampleSummary) -> String {
+    let SampleSummary { median, min, max } = summary;
     format!("{} [{}, {}]", number_cell(median), number_cell(min), number_cell(max))
 }
 
--- a/scale/src/statistics.rs
+++ b/scale/src/statistics.rs
@@ -32,11 +32,11 @@
 }
 
 fn median_of_sorted(sorted: &[f64]) -> f64 {
-    let middle = sorted.len() / 2;
+    let middle_index = sorted.len() / 2;
     if sorted.len() % 2 == 1 {
-        sorted[middle]
+        sorted[middle_index]
     } else {
-        (sorted[middle - 1] + sorted[middle]) / 2.0
+        (sorted[middle_index - 1] + sorted[middle_index]) / 2.0
     }
 }
 
