--- a/scale/src/arguments.rs
+++ b/scale/src/arguments.rs
@@ -1,18 +1,18 @@
-//! Arguments that all experiments have.
+//! Command-line arguments that the experiments have in common.
 
 use clap::Args;
 use std::path::PathBuf;
 
-/// Where an experiment takes its scenario and seed from, and where its records go.
+/// Arguments that select the scenario, the seed and the results file of an experiment.
 #[derive(Debug, Args)]
 pub struct CommonArguments {
-    /// Scenario file; the built-in full set if absent.
+    /// Scenario file; defaults to the built-in scenario.
     #[arg(long, value_name = "FILE")]
     pub scenario: Option<PathBuf>,
-    /// Write the results to this file too, one JSON object a line.
+    /// Also write the results to this file, as one JSON object per line.
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
-    /// Seed of all pseudo-random choices, in place of the scenario's.
+    /// Seed of all pseudo-random choices; overrides the scenario's seed.
     #[arg(long)]
     pub seed: Option<u64>,
 }
--- a/scale/src/call.rs
+++ b/scale/src/call.rs
@@ -1,22 +1,23 @@
-//! An attempt that a simulated forwarder has out.
+//! A call of a simulated forwarder that is in flight.
 
 use hatchline::{Event, MessageId, Micros, Outcome, TargetId};
 
-/// An attempt that is out.
+/// A call in flight: the request that carries one attempt of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Call {
-    /// Its message.
+    /// The message that the call carries.
     pub id: MessageId,
-    /// Its number among the attempts of the message, from 0.
+    /// Index of the attempt among the attempts of its message, from 0.
     pub attempt: u32,
-    /// The endpoint called.
+    /// The endpoint that the call goes to.
     pub target: TargetId,
-    /// When it was made.
+    /// When the call was sent.
     pub sent_at: Micros,
 }
 
 impl Call {
-    /// The event by which the policy learns its end; `ended` says that its message is over.
+    /// Builds the event that reports the end of the call to the policy. `message_ended` tells whether the message is
+    /// complete.
     pub fn end_event(self, now: Micros, outcome: Outcome, message_ended: bool, retry_after: Micros) -> Event {
         let Call { id, attempt, target, sent_at } = self;
         Event::AttemptEnded {
--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, its logs and its exit status.
+//! Command line of the tool: arguments, logging and exit status.
 
 use crate::discovery;
 use crate::error::ScaleError;
@@ -22,31 +22,31 @@
 }
 
 impl Arguments {
-    /// The experiment, without what holds for all.
+    /// Returns the subcommand, without the global options.
     pub fn into_command(self) -> Command {
         self.command
     }
 }
 
-/// The experiments.
+/// Subcommands of the tool: one per experiment, and one that runs them all.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Processor time and memory of the delivery policy by destinations and held messages.
+    /// CPU time and memory of the delivery policy by destinations and held messages.
     Policy(policy::PolicyArguments),
-    /// Load of discovery, and time until changes of the list are in force, by instances.
+    /// Load of discovery, and time until changes of the endpoint list are in force, by instances.
     Discovery(discovery::DiscoveryArguments),
-    /// Answers learned, load after an outage and service by the size of the fleet that shares the destinations.
+    /// Responses learned, load after an outage and deliveries, by the size of the fleet that shares the destinations.
     Fleet(fleet::FleetArguments),
-    /// The full set of all experiments, one after the other.
+    /// Run all experiments, one after the other.
     All(full_set::FullSetArguments),
-    /// Memory, time until ready and processor time of forwarder processes, by destinations, held messages and processes.
+    /// Memory, time until ready and CPU time of forwarder processes, by destinations, held messages and processes.
     Instance(instance::InstanceArguments),
-    /// One run of `policy`, in a process of its own. Reads its plan from standard input.
+    /// A single run of `policy` in a process of its own. Reads its plan from standard input.
     #[command(hide = true, name = policy::RUN_SUBCOMMAND)]
     PolicyRun,
 }
 
-/// Parses the command line, runs the experiment and reports how it ended.
+/// Parses the command line, runs the experiment and maps its result to an exit status.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
     init_logging(arguments.log_level);
--- a/scale/src/cpu_clock.rs
+++ b/scale/src/cpu_clock.rs
@@ -1,19 +1,19 @@
-//! Processor time of the present thread, which other processes disturb less than the time of day.
+//! CPU time of the current thread. Other processes disturb it less than wall-clock time.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
-/// Pairs of readings from which the cost of a reading is taken.
+/// Number of readings from which the cost of a reading is estimated.
 const CALIBRATION_READINGS: usize = 1001;
 
-/// A clock of the thread's processor time. It takes off what reading it costs.
+/// Measures CPU time of the current thread, corrected for the cost of reading the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ThreadCpuClock {
     reading_cost: Duration,
 }
 
 impl ThreadCpuClock {
-    /// A clock that knows its own cost: the median of many readings.
+    /// Creates a clock that subtracts the cost of a reading, the median of many readings.
     pub fn calibrated() -> ThreadCpuClock {
         let uncorrected = ThreadCpuClock { reading_cost: Duration::ZERO };
         let mut readings: Vec<Duration> =
@@ -22,7 +22,7 @@
         ThreadCpuClock { reading_cost: readings[CALIBRATION_READINGS / 2] }
     }
 
-    /// Processor time that the work takes.
+    /// Returns the CPU time that the work takes.
     pub fn time(&self, work: impl FnOnce()) -> Duration {
         let start = thread_cpu_time();
         work();
@@ -31,7 +31,7 @@
     }
 }
 
-/// Processor time that the thread has taken so far.
+/// Returns the CPU time that the current thread has used so far.
 pub fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -1,46 +1,47 @@
-//! The deployment that experiments share: classes of messages, contract, and the policy's settings from both.
+//! The deployment that the experiments share: message classes, destination contract, and the policy settings made
+//! from both.
 
 use crate::bounded_integer::BoundedInteger;
 use hatchline::{Class, DestinationContract, ListedRate, Micros, RetrySafety, Settings};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds in a millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
-/// Microseconds in a second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000 * MILLISECOND;
-/// Shortest span between two moments at which events reach a forwarder.
+/// Time resolution of the simulated forwarder: the minimum interval between two batches of events.
 const TICK: Micros = MILLISECOND;
-/// Greatest span that a scenario may name, in milliseconds: a day.
+/// Maximum duration that a scenario may set, in milliseconds: one day.
 const MAX_SPAN_MS: u64 = 86_400_000;
 
-/// A span in milliseconds, perhaps none.
+/// A duration in milliseconds that may be zero.
 pub type Milliseconds = BoundedInteger<0, MAX_SPAN_MS>;
-/// A span in milliseconds.
+/// A duration in milliseconds of at least one.
 pub type PositiveMilliseconds = BoundedInteger<1, MAX_SPAN_MS>;
 
-/// A class of messages.
+/// Scenario settings of a message class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSettings {
-    /// Its name in the scenario.
+    /// Name by which the scenario refers to the class.
     pub name: String,
-    /// Span in which a delivery earns the full worth.
+    /// Time from arrival within which a delivery earns the full worth.
     pub aim_ms: PositiveMilliseconds,
-    /// Span in which a message may be delivered.
+    /// Time from arrival within which a message may be delivered.
     pub deadline_ms: PositiveMilliseconds,
-    /// What a delivery is worth.
+    /// Worth of a delivery within the aim.
     pub worth: Fraction,
-    /// Share of the worth that is left at the deadline.
+    /// Fraction of the worth that remains at the deadline.
     pub late_value: Fraction,
-    /// What a repeat does.
+    /// Effect of a retry at the destination.
     #[serde(rename = "effect")]
     pub retry_safety: RetrySafetySetting,
-    /// For keyed classes: how long repeats are dropped.
+    /// For keyed classes: how long the destination drops repeats of a key.
     #[serde(rename = "window_ms")]
     pub deduplication_window_ms: Milliseconds,
 }
 
-/// A number from 0 to 1.
+/// A number from 0 to 1, checked as it is read.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct Fraction(f64);
@@ -54,37 +55,37 @@
     }
 }
 
-/// What a repeat of a message does.
+/// Whether a message may be retried without taking effect twice, as the scenario names it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RetrySafetySetting {
-    /// May be repeated at will.
+    /// May be retried without restriction.
     Repeatable,
-    /// The destination drops repeats for a time.
+    /// The destination drops repeats of a key for the deduplication window.
     Keyed,
-    /// Must never take effect twice.
+    /// Must not take effect twice.
     Unsafe,
 }
 
-/// A deployment, as far as it differs from experiment to experiment.
+/// Parameters of a deployment that differ between experiments.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment<'a> {
-    /// Forwarders that share the destinations.
+    /// Number of forwarders that share the destinations.
     pub replicas: u64,
-    /// Calls that one forwarder may have out at once.
+    /// Maximum number of calls that one forwarder has in flight.
     pub slots: u64,
-    /// Messages that one forwarder may hold.
+    /// Maximum number of messages that one forwarder holds.
     pub max_held: u64,
-    /// Attempts for one message at most.
+    /// Maximum number of attempts per message.
     pub max_attempts: u64,
-    /// Whether the list names the rate that each destination takes.
+    /// Whether the endpoint list states the rate that each destination accepts.
     pub is_rate_listed: bool,
-    /// Classes of messages.
+    /// Message classes.
     pub classes: &'a [ClassSettings],
 }
 
 impl Deployment<'_> {
-    /// The settings in the form that the delivery policy takes. What no scenario sets is as in a usual deployment.
+    /// Returns the settings of the delivery policy. What no scenario sets has the values of a typical deployment.
     pub fn policy_settings(&self) -> Settings {
         Settings {
             replicas: saturating_u32(self.replicas),
@@ -130,7 +131,7 @@
     }
 }
 
-/// Contract of the usual deployment.
+/// Destination contract of a typical deployment.
 fn typical_contract() -> DestinationContract {
     DestinationContract {
         drain_grace: SECOND,
@@ -143,7 +144,7 @@
     }
 }
 
-/// A number whose range ends below the greatest of 32 bits.
+/// Converts a number, limited to the maximum of `u32`.
 pub fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -6,14 +6,14 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Exit status where the experiment itself failed.
+/// Exit status when an experiment fails.
 const EXIT_FAILURE: u8 = 1;
-/// Exit status for a scenario file or argument that cannot be used; the same as the argument parser's.
+/// Exit status for a scenario file or argument that cannot be used; the argument parser has the same.
 const EXIT_BAD_INPUT: u8 = 2;
-/// Exit status after an interrupt: 128 and the number of the signal.
+/// Exit status after an interrupt: 128 plus the number of SIGINT.
 const EXIT_INTERRUPTED: u8 = 130;
 
-/// Why an experiment failed. Each is displayed on one line.
+/// Why an experiment failed. Every message fits on one line.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// The scenario file cannot be used.
@@ -24,63 +24,63 @@
     Argument {
         /// The argument, as written on the command line.
         argument: &'static str,
-        /// What is wrong with it.
+        /// Why the argument is rejected.
         reason: String,
     },
-    /// The records cannot be written.
+    /// The records file cannot be written.
     #[error("{}: cannot be written: {source}", path.display())]
     WriteRecords {
-        /// The file.
+        /// Path of the records file.
         path: PathBuf,
-        /// The error of the system.
+        /// Underlying I/O error.
         source: io::Error,
     },
-    /// The process of one run could not be started, or broke off.
+    /// A run could not be started or did not complete.
     #[error("a run failed: {0}")]
     RunFailed(String),
-    /// Runs with the same seed made different decisions.
+    /// Two runs with the same seed made different decisions.
     #[error("runs with the same seed differ: {first} and {other}")]
     NotReproducible {
-        /// What the first run counted.
+        /// Counts of the first run.
         first: String,
-        /// What another run counted.
+        /// Counts of the other run.
         other: String,
     },
-    /// The policy did not hold as many messages as the point asks for.
+    /// The policy held fewer messages than the point requires.
     #[error("the policy holds {held} messages instead of the {requested} requested")]
     BacklogNotHeld {
-        /// Messages that the point asks for.
+        /// Number of messages that the point requires.
         requested: u64,
-        /// Messages held after the backlog was submitted.
+        /// Number of messages held after the backlog was submitted.
         held: u64,
     },
     /// A run with forwarder processes failed.
     #[error("a run failed: {0}")]
     Instance(#[from] InstanceError),
-    /// A figure of the operating system cannot be read.
-    #[error("a figure of the system cannot be read: {0}")]
+    /// A statistic of the operating system cannot be read.
+    #[error("cannot read a system statistic: {0}")]
     System(#[from] procfs::ProcError),
-    /// The handler of interrupts cannot be set.
-    #[error("interrupts cannot be handled: {0}")]
+    /// The interrupt handler cannot be installed.
+    #[error("cannot install the interrupt handler: {0}")]
     InterruptHandler(#[from] ctrlc::Error),
     /// Standard input or output failed.
-    #[error("standard input or output: {0}")]
+    #[error("I/O error on standard input or output: {0}")]
     StandardStreams(#[from] io::Error),
-    /// A plan or result of a run is not valid JSON.
-    #[error("a plan or result is not valid: {0}")]
+    /// The plan or result of a run cannot be encoded or decoded.
+    #[error("invalid plan or result of a run: {0}")]
     Json(#[from] serde_json::Error),
     /// The user interrupted the experiment.
     #[error("interrupted: {done} of {planned} runs done")]
     Interrupted {
-        /// Runs made.
+        /// Number of runs completed.
         done: u64,
-        /// Runs planned.
+        /// Number of runs planned.
         planned: u64,
     },
 }
 
 impl ScaleError {
-    /// The exit status of the command.
+    /// Returns the exit status of the command.
     pub fn exit_status(&self) -> u8 {
         match self {
             ScaleError::Scenario(_) | ScaleError::Argument { .. } => EXIT_BAD_INPUT,
--- a/scale/src/fleet/arguments.rs
+++ b/scale/src/fleet/arguments.rs
@@ -6,7 +6,7 @@
 use crate::fleet::settings::FleetSize;
 use clap::Args;
 
-/// Points that are simulated at the same time.
+/// Number of points that are simulated in parallel.
 pub(super) type ThreadCount = BoundedInteger<1, 4>;
 
 /// Arguments of `scale fleet`.
@@ -14,13 +14,13 @@
 pub struct FleetArguments {
     #[command(flatten)]
     pub(super) common: CommonArguments,
-    /// Simulate only these outages.
+    /// Simulate only these kinds of outage.
     #[arg(long, value_delimiter = ',', value_enum)]
     pub(super) cases: Vec<OutageCase>,
-    /// Fleet sizes, in place of the scenario's.
+    /// Fleet sizes; overrides the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) sizes: Vec<FleetSize>,
-    /// Points that are simulated at the same time. The figures do not depend on it.
+    /// Number of points that are simulated in parallel. The results do not depend on it.
     #[arg(long, default_value = "4")]
     pub(super) threads: ThreadCount,
 }
--- a/scale/src/fleet/cold_load.rs
+++ b/scale/src/fleet/cold_load.rs
@@ -1,24 +1,25 @@
-//! The load that a destination may get while it is cold after an outage, and the worst that it got.
+//! Load on a destination that is cold after an outage: what the contract allows, and the worst that occurred.
 
 use crate::deployment::SECOND;
 use hatchline::{DestinationContract, Micros};
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// A window counts against the fleet if more than this share of its calls came from replicas that had met the outage.
+/// A window counts against the fleet if more than this fraction of its calls came from replicas that had called the
+/// destination during the outage: only those replicas can know that it is cold.
 const OBSERVED_SHARE_NUMERATOR: usize = 2;
 const OBSERVED_SHARE_DENOMINATOR: usize = 3;
 
-/// A call to a destination that has returned.
+/// A call to a destination after its outage.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallAfterOutage {
-    /// Span since the return.
+    /// Time since the end of the outage.
     pub since_recovery: Micros,
-    /// The replica had called the destination during the outage.
+    /// Whether the replica had called the destination during the outage.
     pub observed_outage: bool,
 }
 
-/// Calls within one window against the calls allowed in it. Both are 0 where there is no such window.
+/// Calls within one window, and the calls allowed in it. Both are 0 if there is no such window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct WindowLoad {
     pub calls: usize,
@@ -26,7 +27,7 @@
 }
 
 impl WindowLoad {
-    /// Calls over those allowed; 0 where there was no call.
+    /// Ratio of calls to allowed calls; 0 without calls.
     pub fn ratio(&self) -> f64 {
         if self.calls == 0 {
             0.0
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The one of two that comes nearest to what is allowed, or exceeds it most.
+    /// Returns the load with the greater ratio.
     pub fn worse(self, other: WindowLoad) -> WindowLoad {
         if other.ratio() > self.ratio() {
             other
@@ -48,14 +49,15 @@
 /// The worst windows of a destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct WorstWindows {
-    /// Of the windows that count against the fleet.
+    /// The worst of the windows that count against the fleet.
     pub counted: WindowLoad,
-    /// Of all windows.
+    /// The worst of all windows.
     pub any: WindowLoad,
 }
 
-/// Calls that the fleet may make to a destination in `overload_duration`, from this span after its return: what the
-/// contract allows a destination that is cold then, and twice the root of that and two more for chance.
+/// Returns how many calls the fleet may make to a destination within `overload_duration`, in a window that starts
+/// this long after the outage: what the contract allows a destination that is still cold, plus twice the square root
+/// of that and 2 for random variation.
 fn allowed_calls(capacity: f64, since_recovery: Micros, contract: &DestinationContract) -> f64 {
     let ramp_progress = (since_recovery as f64 / contract.ramp_time as f64).min(1.0);
     let capacity_share = contract.cold_capacity_share + (1.0 - contract.cold_capacity_share) * ramp_progress;
@@ -64,15 +66,15 @@
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
-/// The worst windows of `overload_duration` that begin within the ramp after the return. The calls are in order of
-/// time.
+/// Finds the worst windows of `overload_duration` that start within the ramp after the outage. The calls are in order
+/// of time.
 pub(super) fn worst_windows(
     calls: &[CallAfterOutage], capacity: f64, contract: &DestinationContract,
 ) -> WorstWindows {
     let mut worst = WorstWindows::default();
     let mut window = VecDeque::new();
     for call in calls {
-        // The earliest window that holds this call is the one that allows the least.
+        // Of the windows that hold this call, the earliest allows the fewest calls.
         let window_start = call.since_recovery.saturating_sub(contract.overload_duration);
         if window_start > contract.ramp_time {
             break;
--- a/scale/src/fleet/experiment.rs
+++ b/scale/src/fleet/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment: simulates the points, prints the tables and writes the records.
+//! Simulates the points of the experiment, prints the tables and writes the records.
 
 use crate::error::ScaleError;
 use crate::fleet::arguments::FleetArguments;
@@ -15,7 +15,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-/// Runs the experiment from its arguments to its results.
+/// Runs the experiment with these arguments and reports its results.
 pub(super) fn run(arguments: &FleetArguments) -> Result<(), ScaleError> {
     let plan = Plan::load(arguments)?;
     let records = arguments.common.json.as_deref().map(RecordFile::create).transpose()?;
@@ -54,7 +54,8 @@
     )
 }
 
-/// Simulates the points, some at a time, until all are done or the user interrupts. Gives those done in their order.
+/// Simulates the points on several threads until all are done or the user interrupts. Returns the completed ones in
+/// plan order.
 fn simulate_points(plan: &Plan, interrupt: &Interrupt) -> Vec<PointResult> {
     let progress = progress_bar(plan.points.len() as u64);
     let pending = Mutex::new(indices_by_fleet_size(plan));
@@ -75,7 +76,8 @@
     done.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Places of the points, the largest fleet last: it takes longest, and work is taken from the end.
+/// Returns the indices of the points by fleet size, the largest last: it takes longest, and points are popped from
+/// the end.
 fn indices_by_fleet_size(plan: &Plan) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..plan.points.len()).collect();
     indices.sort_by_key(|index| plan.points[*index].replicas);
@@ -86,7 +88,7 @@
     pending.lock().unwrap_or_else(PoisonError::into_inner).pop()
 }
 
-/// Simulates one point; none if the user interrupts it.
+/// Simulates one point; `None` if the user interrupts it.
 fn simulate_point(
     plan: &Plan, index: usize, interrupt: &Interrupt, progress: &ProgressBar,
 ) -> Option<PointResult> {
--- a/scale/src/fleet/metrics.rs
+++ b/scale/src/fleet/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of a point, from what its simulation recorded.
+//! Metrics of a point, computed from what its simulation recorded.
 
 use crate::deployment::{MILLISECOND, SECOND};
 use crate::fleet::cold_load::{worst_windows, WindowLoad, WorstWindows};
@@ -11,54 +11,54 @@
 use serde::Serialize;
 use std::ops::Range;
 
-/// Answers of a route from which on the policy trusts the time-out that it has measured.
+/// Number of responses of a route from which on the policy uses its measured timeout.
 const MIN_RESPONSES_FOR_MEASURED_TIMEOUT: u32 = 20;
-/// Share of messages that are delivered within their aim once service is back.
+/// Fraction of messages delivered within their aim from which on service counts as recovered.
 const RECOVERED_SHARE: f64 = 0.9;
-/// Span of arrivals over which that share is taken, and the step between two such spans.
+/// Duration of arrivals over which that fraction is taken, and the step between two such windows.
 const RECOVERY_WINDOW: Micros = 5 * SECOND;
 const RECOVERY_STEP: Micros = SECOND;
 
-/// What replicas have learned by the end of the steady phase.
+/// What replicas have learned by the end of the steady phase. A pair is a replica and a sampled destination.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct SteadyMetrics {
-    /// Share of all pairs of a replica and a sampled destination that have met.
+    /// Fraction of all pairs in which the replica has received a message for the destination.
     #[serde(rename = "pairs_met_share")]
     pub pairs_with_traffic_share: f64,
-    /// Answers of the pairs that have met; none where no pair has.
+    /// Successful responses of each pair with traffic; `None` if there is no such pair.
     #[serde(rename = "answers_of_pairs_met")]
     pub responses_of_pairs_with_traffic: Option<SampleSummary>,
-    /// Share of all pairs whose measured time-out is trusted.
+    /// Fraction of all pairs with enough responses for a measured timeout.
     pub pairs_trusted_share: f64,
-    /// Span in which a pair gets as many answers as that takes, at the mean rate of the phase; none without answers.
+    /// Time in which a pair gets that many responses, at the mean rate of the phase; `None` without responses.
     pub seconds_until_trusted: Option<f64>,
-    /// Share of the phase's messages that were delivered within their aim.
+    /// Fraction of the phase's messages that were delivered within their aim.
     pub within_aim_share: Option<f64>,
 }
 
-/// What the outage did. Shares are none where no message arrived.
+/// Effects of the outage. Fractions are `None` if no message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct OutageMetrics {
-    /// Calls to a destination while it was down.
+    /// Calls to a destination during the outage.
     pub calls_while_down: Option<SampleSummary>,
-    /// Messages that arrived for a destination meanwhile, on the mean.
+    /// Mean number of messages that arrive for a destination during the outage.
     pub arrivals_while_down: f64,
-    /// The worst window since the return, of those that count against the fleet.
+    /// The worst window after the outage, of those that count against the fleet.
     pub worst_window: WindowLoad,
-    /// The worst of all windows since the return.
+    /// The worst of all windows after the outage.
     pub worst_window_of_any: WindowLoad,
-    /// Destinations that got more calls in a window than is allowed, by the windows that count against the fleet.
+    /// Destinations that received more calls in a window than allowed, of the windows that count against the fleet.
     pub destinations_over_budget: usize,
-    /// Shares of messages delivered before their deadline, by when they arrived.
+    /// Fractions of messages delivered before their deadline, by the phase of their arrival.
     pub delivered_share_of_outage: Option<f64>,
     pub delivered_share_of_recovery: Option<f64>,
     pub delivered_share_of_run: Option<f64>,
-    /// First whole second since the return from which on 90 % of what arrived in five seconds was delivered within its
-    /// aim; none if that did not come.
+    /// Seconds from the end of the outage to the first window in which 90 % of the messages that arrived within 5 s
+    /// were delivered within their aim, in steps of 1 s; `None` if there is no such window.
     pub seconds_until_recovered: Option<f64>,
 }
 
-/// All figures of a point.
+/// All metrics of a point.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct PointMetrics {
     pub messages: usize,
@@ -67,7 +67,7 @@
 }
 
 impl PointMetrics {
-    /// The figures of a simulation that has ended.
+    /// Computes the metrics of a simulation that has ended.
     pub fn new(
         scenario: &FleetScenario, point: Point, phases: &Phases, observations: &Observations,
     ) -> PointMetrics {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Messages in order of arrival, and what counts as in time.
+/// Messages in order of arrival, and the time limits of their class.
 #[derive(Debug)]
 struct DeliveryStatistics<'a> {
     messages: &'a [Message],
@@ -93,12 +93,12 @@
 }
 
 impl DeliveryStatistics<'_> {
-    /// Share of the messages that arrived in a span that were delivered within their aim.
+    /// Fraction of the messages of an arrival span that were delivered within their aim.
     fn share_within_aim(&self, arrival_span: Range<Micros>) -> Option<f64> {
         self.share_delivered_within(arrival_span, self.aim)
     }
 
-    /// Share of the messages that arrived in a span that were delivered before their deadline.
+    /// Fraction of the messages of an arrival span that were delivered before their deadline.
     fn share_within_deadline(&self, arrival_span: Range<Micros>) -> Option<f64> {
         self.share_delivered_within(arrival_span, self.deadline)
     }
--- a/scale/src/fleet/mod.rs
+++ b/scale/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! `scale fleet`: simulated instances, one policy each, that share destinations.
+//! `scale fleet`: simulated forwarders, each with its own policy, that share destinations.
 //!
-//! At a fixed ratio of traffic to destinations, a destination gets the same traffic whatever the size of the fleet, and
-//! one replica meets it the more seldom the larger the fleet is. The experiment measures what that does to the answers
-//! that a replica learns, to the load on a destination that returns from an outage, and to deliveries.
+//! At a fixed ratio of traffic to destinations, a destination gets the same traffic at any fleet size, and each
+//! replica sends to it less often the larger the fleet is. The experiment measures the effect on the responses that a
+//! replica learns from, on the load on a destination that returns from an outage, and on deliveries.
 //!
-//! A sample of destinations is simulated with all replicas of the fleet, on a virtual clock: the same seed gives the
-//! same figures.
+//! A sample of destinations is simulated with all replicas of the fleet on a virtual clock. The same seed gives the
+//! same results.
 
 mod arguments;
 mod cold_load;
--- a/scale/src/fleet/plan.rs
+++ b/scale/src/fleet/plan.rs
@@ -8,17 +8,17 @@
 use serde::Serialize;
 use std::fmt;
 
-/// The built-in scenario, and the file name in its errors.
+/// The built-in scenario, and the file name that its errors show.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/fleet.toml");
 const BUILT_IN_SCENARIO_NAME: &str = "scale/scenarios/fleet.toml";
 
-/// How the sampled destinations fail.
+/// Kind of outage: how the sampled destinations fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum OutageCase {
     /// They refuse connections.
     Refused,
-    /// They answer no call: each runs into its time-out.
+    /// They respond to no call: each call times out.
     Silent,
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// One simulation to be run.
+/// A simulation to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Point {
     pub replicas: u64,
     pub case: OutageCase,
 }
 
-/// The whole experiment.
+/// Plan of the whole experiment.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub scenario_name: String,
@@ -50,7 +50,7 @@
 }
 
 impl Plan {
-    /// The plan that the scenario and the arguments give.
+    /// Builds the plan from the scenario and the arguments.
     pub fn load(arguments: &FleetArguments) -> Result<Plan, ScaleError> {
         let file = ScenarioFile::load(
             arguments.common.scenario.as_deref(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// All pairs of a case and a size, case by case.
+/// Returns all pairs of a case and a size, grouped by case.
 fn points(cases: &[OutageCase], sizes: &[FleetSize]) -> Vec<Point> {
     let of_case = |case: &OutageCase| {
         sizes.iter().map(|size| Point { replicas: size.get(), case: *case }).collect::<Vec<_>>()
--- a/scale/src/fleet/replica.rs
+++ b/scale/src/fleet/replica.rs
@@ -1,4 +1,4 @@
-//! A simulated instance of the forwarder: its policy, its timers and what it has met.
+//! A simulated replica: its policy, its timers and its history with each destination.
 
 use crate::deployment::saturating_u32;
 use crate::policy_under_test::PolicyUnderTest;
@@ -6,16 +6,16 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a replica has met of one destination.
+/// What a replica has seen of one destination.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DestinationHistory {
     pub messages: u32,
     pub responses: u32,
-    /// The replica has called the destination during the outage.
+    /// Whether the replica has called the destination during the outage.
     pub observed_outage: bool,
 }
 
-/// What all replicas are told at their start.
+/// Settings and endpoint list that all replicas start with.
 #[derive(Clone, Debug)]
 pub(super) struct InitialConditions {
     pub settings: Settings,
@@ -24,7 +24,8 @@
 }
 
 impl InitialConditions {
-    /// A fleet whose sampled destinations, numbered from 0, have one endpoint each, of the same number.
+    /// Creates the conditions of a fleet whose sampled destinations, numbered from 0, have one endpoint each, of the
+    /// same number.
     pub fn new(
         settings: Settings, destinations: u64, listed_rate: f64, started_at: Micros,
     ) -> InitialConditions {
@@ -39,10 +40,10 @@
     }
 }
 
-/// One instance of the forwarder.
+/// A simulated replica.
 ///
-/// It has come up at the start of the simulation. While it has neither messages nor calls nothing but its timers
-/// concerns it: these are caught up with before its next event.
+/// It starts at the start of the simulation. While it has neither messages nor calls, only its timers affect it: they
+/// are processed late, before its next event.
 #[derive(Debug)]
 pub(super) struct Replica {
     policy: PolicyUnderTest,
@@ -50,14 +51,14 @@
     pub histories: Vec<DestinationHistory>,
     /// Messages that are neither delivered nor ended.
     pub pending_messages: u32,
-    /// Calls that are out.
+    /// Calls in flight.
     pub calls_in_flight: u32,
-    /// When the simulation is to wake it for its timers.
+    /// Time of the scheduled event that wakes the replica for its timers.
     pub wakeup_at: Option<Micros>,
 }
 
 impl Replica {
-    /// A replica as it came up at the start.
+    /// Creates a replica in its state at the start.
     pub fn new(seed: u64, conditions: &InitialConditions) -> Replica {
         let started_at = conditions.started_at;
         let mut replica = Replica {
@@ -75,7 +76,7 @@
         replica
     }
 
-    /// Passes an event in. Leaves in `actions` what is to be carried out beside timers.
+    /// Passes an event to the policy. Schedules the timers it sets and leaves all other actions in `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.policy.advance(now, [event], actions);
         let timers = &mut self.timers;
@@ -86,7 +87,8 @@
         });
     }
 
-    /// Passes in the next timer that is due by `now`, at its own time; gives whether there was one.
+    /// Passes the next timer that is due by `now` to the policy, at the timer's own time; returns whether there was
+    /// one.
     pub fn handle_next_timer(&mut self, now: Micros, actions: &mut Vec<Action>) -> bool {
         let Some(Reverse((at, token))) = self.timers.peek().copied().filter(|Reverse((at, _))| *at <= now)
         else {
@@ -97,17 +99,17 @@
         true
     }
 
-    /// Whether its timers may decide anything but further timers.
+    /// Whether its timers may cause any action but further timers.
     pub fn is_busy(&self) -> bool {
         self.pending_messages > 0 || self.calls_in_flight > 0
     }
 
-    /// The time of its next timer.
+    /// Returns the time of the next timer.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// What it has met of a destination.
+    /// Returns the history of a destination.
     pub fn history(&mut self, destination: DestinationId) -> &mut DestinationHistory {
         &mut self.histories[destination as usize]
     }
--- a/scale/src/fleet/results.rs
+++ b/scale/src/fleet/results.rs
@@ -1,4 +1,4 @@
-//! Results of the points: their tables and records.
+//! Results of the points: tables and records.
 
 use crate::fleet::cold_load::WindowLoad;
 use crate::fleet::metrics::PointMetrics;
@@ -9,11 +9,11 @@
 
 /// Name of the experiment in its records.
 pub(super) const EXPERIMENT: &str = "fleet";
-/// The cell of a figure that there is not.
+/// Table cell of a missing value.
 const NO_VALUE: &str = "-";
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-/// A point that was simulated. It is the content of its record.
+/// A point that was simulated, as written to its record.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(tag = "record", rename = "point")]
 pub(super) struct PointResult {
@@ -23,7 +23,8 @@
     pub metrics: PointMetrics,
 }
 
-/// The table of what replicas learned in the steady phase, one row a fleet size. It does not depend on the outage.
+/// Formats the table of what replicas learned in the steady phase, one row per fleet size. The outage comes later and
+/// does not affect it.
 pub(super) fn steady_table(results: &[PointResult]) -> String {
     let header = [
         "replicas",
@@ -56,7 +57,7 @@
     ]
 }
 
-/// The table of the points of one case, one row a fleet size.
+/// Formats the table of the points of one kind of outage, one row per fleet size.
 pub(super) fn outage_table(results: &[PointResult], case: OutageCase) -> String {
     let header = [
         "replicas",
@@ -89,7 +90,7 @@
     ]
 }
 
-/// Calls, calls allowed and their ratio.
+/// Formats calls, allowed calls and their ratio.
 fn window_cell(load: WindowLoad) -> String {
     if load.calls == 0 {
         return NO_VALUE.to_owned();
--- a/scale/src/fleet/run.rs
+++ b/scale/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! One point from its start to its figures.
+//! Simulates one point and computes its metrics.
 
 use crate::fleet::metrics::PointMetrics;
 use crate::fleet::plan::Point;
@@ -7,7 +7,7 @@
 use crate::interrupt::Interrupt;
 use hatchline::Micros;
 
-/// Simulates a point; none if the user interrupts it.
+/// Simulates a point; `None` if the user interrupts it.
 pub(super) fn simulate(
     scenario: &FleetScenario, point: Point, seed: u64, interrupt: &Interrupt,
 ) -> Option<PointMetrics> {
@@ -15,13 +15,13 @@
     let mut simulation = Simulation::new(scenario, point, seed);
     run_until(&mut simulation, phases.outage_start, interrupt)?;
     let learned = simulation.learned_responses();
-    // Once no more traffic comes, each message ends by its deadline.
+    // After the end of traffic, every message ends by its deadline, so the simulation ends.
     run_until(&mut simulation, Micros::MAX, interrupt)?;
     let observations = simulation.into_observations(learned);
     Some(PointMetrics::new(scenario, point, &phases, &observations))
 }
 
-/// Processes all events before `end`; none if the user interrupts that.
+/// Processes all events before `end`; `None` if the user interrupts.
 fn run_until(simulation: &mut Simulation, end: Micros, interrupt: &Interrupt) -> Option<()> {
     while simulation.step(end) {
         if interrupt.is_received() {
--- a/scale/src/fleet/settings.rs
+++ b/scale/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The scenario of `scale fleet`: its keys and their ranges.
+//! Scenario of `scale fleet`: its keys and their ranges.
 
 use crate::bounded_integer::BoundedInteger;
 use crate::deployment::{ClassSettings, Deployment, SECOND};
@@ -6,14 +6,14 @@
 use serde::Deserialize;
 use std::slice;
 
-/// A number of replicas.
+/// Number of replicas.
 pub(super) type FleetSize = BoundedInteger<1, 100_000>;
-/// A span in seconds, an hour at most.
+/// A duration in seconds, up to an hour.
 type Seconds = BoundedInteger<1, 3_600>;
-/// The time of an answer in milliseconds.
+/// Response time in milliseconds.
 type ResponseMilliseconds = BoundedInteger<1, 60_000>;
 
-/// A scenario file.
+/// Contents of a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetScenario {
@@ -35,7 +35,7 @@
     pub class: ClassSettings,
 }
 
-/// The ratio of traffic to destinations, and the part of it that is simulated.
+/// The ratio of traffic to destinations, and how many destinations are simulated.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct TrafficSettings {
@@ -44,7 +44,7 @@
     pub sampled_destinations: BoundedInteger<1, 10_000>,
 }
 
-/// Each of the sampled destinations.
+/// Properties of each sampled destination.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DestinationSettings {
@@ -54,7 +54,7 @@
     pub refusal_time_ms: ResponseMilliseconds,
 }
 
-/// Spans of virtual time.
+/// Durations of the phases in virtual time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhaseSettings {
@@ -64,7 +64,7 @@
 }
 
 impl FleetScenario {
-    /// The settings of each policy in a fleet of this size.
+    /// Returns the policy settings of each replica in a fleet of this size.
     pub fn policy_settings(&self, replicas: u64) -> Settings {
         let deployment = Deployment {
             replicas,
@@ -79,18 +79,18 @@
 }
 
 impl TrafficSettings {
-    /// Events a second of one destination, over the whole fleet.
+    /// Returns the events per second for one destination, over the whole fleet.
     pub fn events_per_second_per_destination(&self) -> f64 {
         self.events_per_second_per_replica.get() as f64 / self.destinations_per_replica.get() as f64
     }
 
-    /// Events a second of all sampled destinations, over the whole fleet.
+    /// Returns the events per second for all sampled destinations, over the whole fleet.
     pub fn simulated_events_per_second(&self) -> f64 {
         self.events_per_second_per_destination() * self.sampled_destinations.get() as f64
     }
 }
 
-/// A span in microseconds.
+/// Converts a duration to microseconds.
 pub(super) fn to_micros(span: Seconds) -> Micros {
     span.get() * SECOND
 }
--- a/scale/src/fleet/simulation.rs
+++ b/scale/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The fleet and the sampled destinations on a virtual clock, driven by a queue of events.
+//! Discrete-event simulation of the fleet and the sampled destinations on a virtual clock.
 
 use crate::call::Call;
 use crate::deployment::{MILLISECOND, SECOND};
@@ -14,23 +14,23 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The virtual clock's first reading.
+/// Initial time of the virtual clock.
 const START: Micros = 5 * SECOND;
-/// Distance between the seeds of two replicas; odd, so that no two of them are the same.
+/// Difference between the seeds of two consecutive replicas. It is odd, so that no two replicas have the same seed.
 const REPLICA_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// When the phases of a simulation begin and end.
+/// Start and end times of the phases of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Phases {
     pub start: Micros,
     pub outage_start: Micros,
     pub recovery_start: Micros,
-    /// No message arrives from then on.
+    /// No message arrives from this time on.
     pub traffic_end: Micros,
 }
 
 impl Phases {
-    /// The phases of a scenario.
+    /// Computes the phases of a scenario.
     pub fn new(scenario: &FleetScenario) -> Phases {
         let outage_start = START + to_micros(scenario.phases.steady_s);
         let recovery_start = outage_start + to_micros(scenario.phases.outage_s);
@@ -47,12 +47,12 @@
     }
 }
 
-/// What is to happen.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
-    /// A message arrives somewhere in the fleet.
+    /// A message arrives at a random replica.
     Arrival,
-    /// A timer of a busy replica falls due.
+    /// A timer of a busy replica is due.
     Wakeup { replica: usize },
     /// An attempt ends.
     CallEnd { call: Call, end: CallEnd },
@@ -78,7 +78,7 @@
     }
 }
 
-/// A fleet of one size with its sampled destinations.
+/// A fleet of one size and its sampled destinations.
 #[derive(Debug)]
 pub(super) struct Simulation {
     now: Micros,
@@ -87,10 +87,11 @@
     seed: u64,
     random: ChaCha8Rng,
     schedule: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
-    /// Events scheduled so far: those of one time happen in the order in which they were scheduled.
+    /// Sequence number of the next scheduled event. Events of the same time are processed in the order in which they
+    /// were scheduled.
     next_sequence: u64,
     initial_conditions: InitialConditions,
-    /// Replicas are made when their first message arrives, in the state of one that has been up since the start.
+    /// Replicas, each created when its first message arrives, in the state of one that has been up since the start.
     replicas: Vec<Option<Replica>>,
     messages: Vec<Message>,
     destinations: Vec<DestinationCalls>,
@@ -100,7 +101,7 @@
 }
 
 impl Simulation {
-    /// A fleet that has just come up.
+    /// Creates a fleet at the start of the simulation.
     pub fn new(scenario: &FleetScenario, point: Point, seed: u64) -> Simulation {
         let destination = scenario.destination;
         let settings = scenario.policy_settings(point.replicas);
@@ -127,7 +128,7 @@
         simulation
     }
 
-    /// Processes the next event before `end`, if there is one.
+    /// Processes the next event before `end`; returns false if there is none.
     pub fn step(&mut self, end: Micros) -> bool {
         if self.schedule.peek().is_none_or(|Reverse((at, ..))| *at >= end) {
             return false;
@@ -142,14 +143,14 @@
         true
     }
 
-    /// The answers that replicas have by now.
+    /// Returns the responses that replicas have received so far.
     pub fn learned_responses(&self) -> LearnedResponses {
         let histories = self.replicas.iter().flatten().flat_map(|replica| &replica.histories);
         let met = histories.filter(|history| history.messages > 0);
         LearnedResponses { per_pair_with_traffic: met.map(|history| history.responses).collect() }
     }
 
-    /// Ends the simulation and gives what it recorded.
+    /// Ends the simulation and returns what it recorded.
     pub fn into_observations(self, learned: LearnedResponses) -> Observations {
         Observations { messages: self.messages, destinations: self.destinations, learned }
     }
@@ -159,7 +160,8 @@
         self.next_sequence += 1;
     }
 
-    /// Schedules the next arrival. Arrivals are independent: the spans between them are exponentially distributed.
+    /// Schedules the next arrival. Arrivals are a Poisson process: the intervals between them are exponentially
+    /// distributed.
     fn schedule_arrival(&mut self) {
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
         let at = self.now + (-uniform.ln() * self.mean_arrival_interval) as Micros;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// A message for any destination reaches any replica.
+    /// Processes the arrival of a message: at a random replica, for a random destination.
     fn handle_arrival(&mut self) {
         let replica = self.random.random_range(0..self.replicas.len());
         let destination = self.random.random_range(0..self.destinations.len()) as DestinationId;
@@ -219,13 +221,13 @@
         self.handle_event(index, call.end_event(self.now, end.outcome(), ended, 0));
     }
 
-    /// The replica of this number, made if need be.
+    /// Returns the replica of this index, creating it if necessary.
     fn replica(&mut self, index: usize) -> &mut Replica {
         let seed = self.seed.wrapping_add(REPLICA_SEED_STEP.wrapping_mul(index as u64 + 1));
         self.replicas[index].get_or_insert_with(|| Replica::new(seed, &self.initial_conditions))
     }
 
-    /// Passes an event to a replica and carries out what it decides.
+    /// Passes an event to a replica and executes its actions.
     fn handle_event(&mut self, replica: usize, event: Event) {
         let mut actions = Vec::new();
         let now = self.now;
@@ -234,7 +236,8 @@
         self.schedule_wakeup(replica);
     }
 
-    /// Runs all timers of a replica that are due. Those in the past are of a replica without messages and calls.
+    /// Processes all timers of a replica that are due. Timers in the past belong to a replica that was idle, without
+    /// messages and calls.
     fn run_timers(&mut self, replica: usize) {
         let now = self.now;
         let mut actions = Vec::new();
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Has the replica woken for its next timer, if that may decide anything.
+    /// Schedules a wakeup of the replica for its next timer, if that timer may cause an action.
     fn schedule_wakeup(&mut self, index: usize) {
         let replica = self.replica(index);
         let Some(at) = replica.next_timer().filter(|_| replica.is_busy()) else { return };
@@ -276,7 +279,7 @@
         self.schedule_at(at, ScheduledEvent::CallEnd { call, end });
     }
 
-    /// When and how a call that is made now ends.
+    /// Returns when and how a call that is made now ends.
     fn call_end(&mut self, until: Micros) -> (Micros, CallEnd) {
         let service_time =
             random_service_time(&mut self.random, self.destination.service_time_ms.get() * MILLISECOND);
@@ -304,7 +307,7 @@
         }
     }
 
-    /// Cancels an attempt. Its regular answer is ignored if it comes later.
+    /// Cancels an attempt. A later end of the call is ignored.
     fn cancel(&mut self, id: MessageId, attempt: u32) {
         let call = Call { id, attempt, target: TargetId::default(), sent_at: self.now };
         self.schedule_at(self.now + 1, ScheduledEvent::CallEnd { call, end: CallEnd::Cancelled });
--- a/scale/src/full_set.rs
+++ b/scale/src/full_set.rs
@@ -1,4 +1,4 @@
-//! `scale all`: the full set of every experiment, one after the other.
+//! `scale all`: runs every experiment, one after the other.
 
 use crate::cli::{Arguments, Command};
 use clap::{Args, Parser, ValueEnum};
@@ -15,7 +15,7 @@
 }
 
 impl Experiment {
-    /// Its subcommand, which names its files too.
+    /// Name of the subcommand, which is also the base name of the experiment's files.
     fn name(self) -> &'static str {
         match self {
             Experiment::Policy => "policy",
@@ -29,10 +29,11 @@
 /// Arguments of `scale all`.
 #[derive(Debug, Args)]
 pub struct FullSetArguments {
-    /// Take the scenarios from this folder, each named like its experiment (policy.toml), in place of the built-in ones.
+    /// Read the scenarios from this directory, each named after its experiment (policy.toml), instead of the built-in
+    /// ones.
     #[arg(long, value_name = "FOLDER")]
     scenarios: Option<PathBuf>,
-    /// Write the results to this folder too, each file named like its experiment (policy.jsonl).
+    /// Also write the results to this directory, each file named after its experiment (policy.jsonl).
     #[arg(long, value_name = "FOLDER")]
     json: Option<PathBuf>,
     /// Run only these experiments.
@@ -41,7 +42,7 @@
 }
 
 impl FullSetArguments {
-    /// The commands of the experiments.
+    /// Returns the commands of the selected experiments.
     pub fn commands(&self) -> Vec<Command> {
         let experiments = if self.only.is_empty() { Experiment::value_variants() } else { &self.only };
         experiments.iter().map(|experiment| self.command(experiment.name())).collect()
--- a/scale/src/interrupt.rs
+++ b/scale/src/interrupt.rs
@@ -1,20 +1,20 @@
-//! Interrupts by the user: the experiment finishes up in place of ending at once.
+//! Interrupts by the user: an interrupted experiment still reports what it has measured.
 
 use crate::error::ScaleError;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
 
-/// The interrupt of this process: it has one handler, however many experiments it runs.
+/// The interrupt flag of this process. It has one handler, however many experiments run.
 static INSTALLED: OnceLock<Interrupt> = OnceLock::new();
 
-/// Whether the user has interrupted the experiment, by Ctrl-C, SIGTERM or SIGHUP.
+/// Tells whether the user has interrupted the experiment by SIGINT (Ctrl-C), SIGTERM or SIGHUP.
 #[derive(Clone, Debug, Default)]
 pub struct Interrupt {
     received: Arc<AtomicBool>,
 }
 
 impl Interrupt {
-    /// Notes interrupts of this process from now on.
+    /// Installs the signal handler, or returns the flag of the handler already installed.
     pub fn install() -> Result<Interrupt, ScaleError> {
         if let Some(installed) = INSTALLED.get() {
             return Ok(installed.clone());
@@ -25,7 +25,7 @@
         Ok(INSTALLED.get_or_init(|| interrupt).clone())
     }
 
-    /// Whether one has come.
+    /// Returns whether an interrupt has been received.
     pub fn is_received(&self) -> bool {
         self.received.load(Ordering::Relaxed)
     }
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,7 +1,7 @@
 //! Experiments that measure what the delivery policy and the discovery client cost as a deployment grows.
 //!
-//! Each experiment is a subcommand of the `scale` command: a module of its own and a variant of
-//! [`cli::Command`]. The other modules are what all experiments share.
+//! Each experiment is a subcommand of the `scale` command: a module and a variant of [`cli::Command`]. All
+//! experiments share the other modules.
 
 pub mod arguments;
 pub mod bounded_integer;
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! The `scale` command: see the library of the same name.
+//! The `scale` command. See the library of the same name.
 
 use std::process::ExitCode;
 
--- a/scale/src/policy/arguments.rs
+++ b/scale/src/policy/arguments.rs
@@ -10,19 +10,19 @@
 pub struct PolicyArguments {
     #[command(flatten)]
     pub(super) common: CommonArguments,
-    /// Play only these series.
+    /// Run only these series.
     #[arg(long, value_delimiter = ',', value_enum)]
     pub(super) series: Vec<Series>,
-    /// Points of the series by destinations listed, in place of the scenario's.
+    /// Points of the series by listed destinations; overrides the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) listed: Vec<ListedCount>,
-    /// Points of the series by destinations active, in place of the scenario's.
+    /// Points of the series by active destinations; overrides the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) active: Vec<ActiveCount>,
-    /// Points of the series by messages held, in place of the scenario's.
+    /// Points of the series by held messages; overrides the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) backlog: Vec<HeldCount>,
-    /// Runs of each point, in place of the scenario's.
+    /// Runs per point; overrides the scenario's.
     #[arg(long)]
     pub(super) runs: Option<RunCount>,
 }
--- a/scale/src/policy/experiment.rs
+++ b/scale/src/policy/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment: runs the points, prints the tables and writes the records.
+//! Runs the points of the experiment, prints the tables and writes the records.
 
 use crate::error::ScaleError;
 use crate::interrupt::Interrupt;
@@ -17,7 +17,7 @@
 use indicatif::ProgressBar;
 use std::io::{self, Write};
 
-/// Runs the experiment from its arguments to its results.
+/// Runs the experiment with these arguments and reports its results.
 pub(super) fn run(arguments: &PolicyArguments) -> Result<(), ScaleError> {
     let plan = Plan::load(arguments)?;
     let records = arguments.common.json.as_deref().map(RecordFile::create).transpose()?;
@@ -48,7 +48,7 @@
     )
 }
 
-/// The points that fit the machine, and those that do not.
+/// Splits the points into those that fit the machine's memory and those that are skipped.
 fn select_points(plan: &Plan) -> Result<(Vec<Point>, Vec<SkippedPoint>), ScaleError> {
     let machine_bytes = machine_bytes()?;
     let mut selected = Vec::new();
@@ -62,14 +62,14 @@
     Ok((selected, skipped))
 }
 
-/// What was measured, and why the rest was not.
+/// What was measured, and the error that ended the experiment early, if any.
 #[derive(Debug)]
 struct ExperimentOutcome {
     results: Vec<PointResult>,
     stop_error: Option<ScaleError>,
 }
 
-/// Runs one series after the other, until a run fails or the user interrupts.
+/// Runs the series in turn until a run fails or the user interrupts.
 fn run_points(plan: &Plan, points: &[Point], interrupt: &Interrupt) -> ExperimentOutcome {
     let progress = progress_bar(points.len() as u64 * plan.runs);
     let mut results: Vec<_> = points.iter().copied().map(PointResult::new).collect();
@@ -81,8 +81,8 @@
     ExperimentOutcome { results, stop_error: finished.err() }
 }
 
-/// Makes all runs of a series. The points take turns, so that a change in the load of the machine affects all of them
-/// and shows in the spread.
+/// Makes all runs of a series. The points alternate, so that a change in the load of the machine affects all of them
+/// and shows in the difference between minimum and maximum.
 fn run_series(
     plan: &Plan, series: &mut [PointResult], interrupt: &Interrupt, progress: &ProgressBar,
 ) -> Result<(), ScaleError> {
@@ -111,7 +111,7 @@
 }
 
 impl<'a> SeriesResults<'a> {
-    /// All series that have results.
+    /// Groups the results by series, without series that have none.
     fn collect(results: &'a [PointResult]) -> Vec<SeriesResults<'a>> {
         let series_results = |series: &Series| {
             let results: Vec<_> = results.iter().filter(|result| result.point.series == *series).collect();
@@ -131,7 +131,10 @@
     if !slopes.is_empty() {
         writeln!(output, "\nslopes by least squares\n{}", slope_table(&slopes))?;
     } else {
-        writeln!(output, "\nno slopes: they take {MIN_RUNS_FOR_SLOPES} runs of two points of a series")?;
+        writeln!(
+            output,
+            "\nno slopes: they need {MIN_RUNS_FOR_SLOPES} runs of at least two points of a series"
+        )?;
     }
     output.flush()?;
     Ok(())
--- a/scale/src/policy/mod.rs
+++ b/scale/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! `scale policy`: processor time and memory of the delivery policy by destinations and held messages.
+//! `scale policy`: CPU time and memory of the delivery policy by destinations and held messages.
 //!
 //! The policy is driven through its public interface on a virtual clock, so that the same seed gives the same
-//! decisions; just their processor time differs from run to run. Each run has a process of its own.
+//! decisions; only their CPU time differs between runs. Each run has a process of its own.
 
 mod arguments;
 mod experiment;
@@ -22,7 +22,7 @@
     experiment::run(arguments)
 }
 
-/// Makes the one run whose plan stands on standard input, and writes what it measured to standard output.
+/// Makes the single run whose plan is on standard input, and writes its measurement to standard output.
 pub fn run_once() -> Result<(), ScaleError> {
     run_process::run_from_stdin()
 }
--- a/scale/src/policy/plan.rs
+++ b/scale/src/policy/plan.rs
@@ -13,26 +13,26 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The built-in scenario, and the file name in its errors.
+/// The built-in scenario, and the file name that its errors show.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/policy.toml");
 const BUILT_IN_SCENARIO_NAME: &str = "scale/scenarios/policy.toml";
-/// The policy keeps part of the room for held messages free: a backlog may take up this percentage of it.
+/// Maximum backlog in percent of max_held: the policy keeps part of the capacity for held messages free.
 const MAX_BACKLOG_PERCENT: u64 = 90;
-/// Upper estimates of memory, in bytes, for points that might not fit the machine.
+/// Upper estimates of memory in bytes, by which points that might not fit the machine are skipped.
 const ESTIMATED_BYTES_PER_LISTED_DESTINATION: u64 = 4_096;
 const ESTIMATED_BYTES_PER_HELD_MESSAGE: u64 = 1_024;
-/// A point may take up one part in so many of the machine's memory.
+/// A point may use at most this fraction of the machine's memory: one half.
 const MEMORY_DIVISOR: u64 = 2;
 
-/// What grows from point to point.
+/// The quantity that grows along a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Series {
-    /// Destinations listed.
+    /// Destinations in the endpoint list.
     Listed,
-    /// Destinations that get traffic.
+    /// Destinations that receive traffic.
     Active,
-    /// Messages held.
+    /// Messages held by the policy.
     Backlog,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// The size of the deployment that a point stands for.
+/// A deployment size that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Point {
     pub series: Series,
@@ -57,7 +57,7 @@
 }
 
 impl Point {
-    /// The size that grows along the series.
+    /// Returns the size that grows along the series.
     pub fn size(&self) -> u64 {
         match self.series {
             Series::Listed => self.listed,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Why the point is skipped on a machine with this much memory; none if it is not.
+    /// Returns why the point is skipped on a machine with this much memory; `None` if it fits.
     pub fn reason_to_skip(&self, machine_bytes: u64) -> Option<String> {
         let listed_bytes = self.listed * ESTIMATED_BYTES_PER_LISTED_DESTINATION;
         let estimated_bytes = listed_bytes + self.backlog * ESTIMATED_BYTES_PER_HELD_MESSAGE;
@@ -91,11 +91,11 @@
     pub warm_up_responses: u64,
     pub min_requests: u64,
     pub max_requests: u64,
-    /// Processor time after which no more requests are measured.
+    /// CPU time after which no further requests are measured.
     pub request_time_budget: Duration,
 }
 
-/// All that one run needs to know.
+/// Input of one run, as passed to its process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct RunPlan {
     pub point: Point,
@@ -104,7 +104,7 @@
     pub traffic: Traffic,
 }
 
-/// The whole experiment.
+/// Plan of the whole experiment.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub scenario_name: String,
@@ -117,7 +117,7 @@
 }
 
 impl Plan {
-    /// The plan that the scenario and the arguments give.
+    /// Builds the plan from the scenario and the arguments.
     pub fn load(arguments: &PolicyArguments) -> Result<Plan, ScaleError> {
         let file = ScenarioFile::load(
             arguments.common.scenario.as_deref(),
@@ -144,12 +144,12 @@
         })
     }
 
-    /// Requests of each run that are measured at least and at most.
+    /// Returns the minimum and maximum number of requests measured in a run.
     pub fn request_range(&self) -> (u64, u64) {
         (self.traffic.min_requests, self.traffic.max_requests)
     }
 
-    /// The plan of each run of a point.
+    /// Returns the plan of the runs of a point.
     pub fn run_plan(&self, point: Point) -> RunPlan {
         RunPlan { point, seed: self.seed, policy: self.policy.clone(), traffic: self.traffic }
     }
@@ -177,7 +177,7 @@
 fn class_index(
     file: &ScenarioFile, scenario: &PolicyScenario, key: &str, name: &Spanned<String>,
 ) -> Result<u32, ScaleError> {
-    let unknown = || file.error_at(name.span(), key, format!("no class has the name {:?}", name.get_ref()));
+    let unknown = || file.error_at(name.span(), key, format!("no class is named {:?}", name.get_ref()));
     Ok(scenario.policy.class_index(name.get_ref()).ok_or_else(unknown)?)
 }
 
@@ -208,7 +208,8 @@
     let (listed, active) = (series.listed.get_ref().get(), series.active.get());
     let needed = active + series.destinations.get();
     if listed < needed {
-        let reason = format!("{listed} is less than the {needed} that are active or have a backlog");
+        let reason =
+            format!("{listed} is less than the {needed} destinations that are active or have a backlog");
         return Err(file.error_at(series.listed.span(), "backlog.listed", reason).into());
     }
     let max_held = scenario.policy.max_held.get();
@@ -222,7 +223,7 @@
     checked_points(file, ("backlog.points", &series.points), ("--backlog", &arguments.backlog), check)
 }
 
-/// The points of the argument, or else those of the scenario, each checked.
+/// Returns the points of the argument, or those of the scenario if the argument is absent, each checked.
 fn checked_points<T: Copy>(
     file: &ScenarioFile, (key, scenario_counts): (&str, &[Spanned<T>]),
     (argument, argument_counts): (&'static str, &[T]), check: impl Fn(T) -> Result<Point, String>,
--- a/scale/src/policy/results.rs
+++ b/scale/src/policy/results.rs
@@ -1,4 +1,4 @@
-//! Results of the points: their summaries, tables and records.
+//! Results of the points: summaries, tables and records.
 
 use crate::error::ScaleError;
 use crate::policy::plan::{Point, Series};
@@ -14,14 +14,14 @@
 const NANOS_PER_MILLI: f64 = 1e6;
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// A point and all its runs.
+/// A point and the measurements of its runs.
 #[derive(Clone, Debug)]
 pub(super) struct PointResult {
     pub point: Point,
     pub runs: Vec<RunMeasurement>,
 }
 
-/// A point that was skipped.
+/// A point that does not fit the machine.
 #[derive(Clone, Debug)]
 pub(super) struct SkippedPoint {
     pub point: Point,
@@ -46,7 +46,7 @@
         point: Point,
         reason: String,
     },
-    /// What one more of the size that grows along the series costs.
+    /// The cost of each additional unit of the size that grows along the series.
     Slope {
         series: Series,
         points: usize,
@@ -55,7 +55,7 @@
     },
 }
 
-/// Figures of a point over its runs.
+/// Summary of a point over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct PointSummary {
     request_microseconds: SampleSummary,
@@ -67,7 +67,7 @@
     counts: Counts,
 }
 
-/// Least-squares slopes of a series, over its runs.
+/// Least-squares slopes of a series over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Slopes {
     runs: usize,
@@ -78,12 +78,12 @@
 }
 
 impl PointResult {
-    /// A point without runs.
+    /// Creates a result without runs.
     pub fn new(point: Point) -> PointResult {
         PointResult { point, runs: Vec::new() }
     }
 
-    /// Adds a run; an error if it made other decisions than those before.
+    /// Adds a run. Fails if its counts differ from those of the first run.
     pub fn add(&mut self, run: RunMeasurement) -> Result<(), ScaleError> {
         if let Some(first) = self.runs.first().filter(|first| first.counts != run.counts) {
             let (first, other) = (format!("{:?}", first.counts), format!("{:?}", run.counts));
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// The figures over all runs; none if there is no run.
+    /// Summarizes all runs; `None` if there is no run.
     pub fn summary(&self) -> Option<PointSummary> {
         Some(PointSummary {
             request_microseconds: self.summarize(|run| run.request_nanos / NANOS_PER_MICRO)?,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// The record of the point; none if there is no run.
+    /// Returns the record of the point; `None` if there is no run.
     pub fn record(&self) -> Option<RecordBody> {
         Some(RecordBody::Point { point: self.point, runs: self.runs.len(), summary: self.summary()? })
     }
@@ -119,19 +119,19 @@
 }
 
 impl SkippedPoint {
-    /// The line of output for it.
+    /// Returns the line of output for the point.
     pub fn line(&self) -> String {
         let Point { series, listed, active, backlog } = self.point;
         format!("skipped: by {series}: {listed} listed, {active} active, {backlog} held: {}", self.reason)
     }
 
-    /// The record of the point.
+    /// Returns the record of the point.
     pub fn record(&self) -> RecordBody {
         RecordBody::Skipped { point: self.point, reason: self.reason.clone() }
     }
 }
 
-/// The table of the points of a series.
+/// Formats the table of the points of a series.
 pub(super) fn point_table(results: &[&PointResult]) -> String {
     let header = [
         "listed",
@@ -167,7 +167,7 @@
     ])
 }
 
-/// The slopes of a series; none where runs are too few or its points do not differ.
+/// Returns the slopes of a series; `None` if there are too few runs or the points do not differ in size.
 pub(super) fn slopes(results: &[&PointResult]) -> Option<Slopes> {
     let runs = results.iter().map(|result| result.runs.len()).min()?;
     if runs < MIN_RUNS_FOR_SLOPES {
@@ -182,7 +182,7 @@
     })
 }
 
-/// One slope for each run, through the same run of all points.
+/// Fits one slope per run, over the same run of all points, and summarizes the slopes.
 fn slope(results: &[&PointResult], runs: usize, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
     let points = |run: usize| {
         let run_points = results.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
@@ -191,7 +191,7 @@
     slope_over_runs(runs, points)
 }
 
-/// The table of slopes.
+/// Formats the table of slopes.
 pub(super) fn slope_table(slopes: &[(Series, Slopes)]) -> String {
     let header =
         ["for each of the", "request ns", "idle maintenance ns/s", "warm maintenance ns/s", "memory bytes"];
--- a/scale/src/policy/run.rs
+++ b/scale/src/policy/run.rs
@@ -1,4 +1,4 @@
-//! One run of a point: a fresh policy is brought to the size of the point and measured.
+//! One run of a point: brings a new policy to the size of the point and measures it.
 
 use crate::cpu_clock::thread_cpu_time;
 use crate::deployment::{saturating_u32, SECOND};
@@ -14,32 +14,31 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Span of virtual time over which periodic maintenance is measured.
+/// Virtual time over which periodic maintenance is measured.
 const MAINTENANCE_SPAN: Micros = SECOND;
-/// How long destinations with a backlog ask for: longer than a run.
+/// Retry-After of destinations with a backlog. It exceeds the duration of a run, so that their messages stay held.
 const BACKLOG_RETRY_AFTER: Micros = 3_600 * SECOND;
-/// Greatest processor time that the histogram of requests records, and its significant digits.
+/// Maximum CPU time that the request histogram records, and its number of significant digits.
 const HISTOGRAM_MAX: Duration = Duration::from_secs(3_600);
 const HISTOGRAM_DIGITS: u8 = 3;
-/// The share of requests that the upper figure of a run stands above.
 const P99_QUANTILE: f64 = 0.99;
 
-/// What one run measured.
+/// Result of one run.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct RunMeasurement {
-    /// Mean processor time of a request, from its arrival to its answer.
+    /// Mean CPU time of a request, from its arrival to the response.
     pub request_nanos: f64,
-    /// Processor time that 99 % of requests stay within.
+    /// 99th percentile of the CPU time of a request.
     pub request_p99_nanos: f64,
-    /// Requests measured; they depend on the time budget.
+    /// Number of requests measured. It depends on the time budget.
     pub requests_measured: u64,
-    /// Processor time of a second's maintenance before any traffic.
+    /// CPU time of one second of periodic maintenance before any traffic.
     pub idle_maintenance_nanos: f64,
-    /// The same after traffic, with the backlog.
+    /// CPU time of one second of periodic maintenance after traffic, with the backlog held.
     pub warm_maintenance_nanos: f64,
     /// Resident anonymous memory of the policy at its full size.
     pub memory_bytes: u64,
-    /// What was decided up to the least number of requests; the same for the same seed.
+    /// Counts up to the minimum number of requests; the same for the same seed.
     pub counts: Counts,
 }
 
@@ -67,7 +66,7 @@
     })
 }
 
-/// The destinations with traffic or a backlog, spread at random over the list.
+/// Destinations with traffic and destinations with a backlog, chosen at random from the list.
 #[derive(Debug)]
 struct SelectedDestinations {
     active: Vec<DestinationId>,
@@ -86,14 +85,14 @@
     }
 }
 
-/// Processor time of periodic maintenance while no traffic comes.
+/// Measures the CPU time of periodic maintenance without traffic.
 fn measure_maintenance(simulation: &mut Simulation) -> Duration {
     let before = simulation.maintenance_cpu_time();
     simulation.run_for(MAINTENANCE_SPAN);
     simulation.maintenance_cpu_time() - before
 }
 
-/// Serves each active destination a number of requests, as many at a time as there are slots.
+/// Serves a number of requests for each active destination, at most as many at a time as there are slots.
 fn warm_up(simulation: &mut Simulation, plan: &RunPlan, active: &[DestinationId]) {
     simulation.set_request_class(plan.traffic.request_class);
     for _ in 0..plan.traffic.warm_up_responses {
@@ -103,7 +102,7 @@
     }
 }
 
-/// Submits the backlog, for destinations that first have each asked for a pause.
+/// Submits the backlog, for destinations that have each rejected a call with a Retry-After before.
 fn fill_backlog(
     simulation: &mut Simulation, plan: &RunPlan, backlogged: &[DestinationId],
 ) -> Result<(), ScaleError> {
@@ -122,7 +121,7 @@
     Ok(())
 }
 
-/// What the measured requests showed.
+/// Measurement of the requests of a run.
 #[derive(Debug)]
 struct RequestMeasurement {
     count: u64,
@@ -131,7 +130,7 @@
     counts: Counts,
 }
 
-/// Sends requests to the active destinations in turn until the time budget is used up.
+/// Submits requests for the active destinations in turn until the time budget is used up.
 fn measure_requests(
     simulation: &mut Simulation, traffic: &Traffic, active: &[DestinationId],
 ) -> RequestMeasurement {
--- a/scale/src/policy/run_process.rs
+++ b/scale/src/policy/run_process.rs
@@ -1,6 +1,7 @@
-//! A run in a process of its own: so neither time nor memory depends on the runs before it.
+//! A run in a process of its own, so that neither CPU time nor memory depends on earlier runs.
 //!
-//! The plan goes to the process's standard input, the measurement comes from its standard output, both as JSON.
+//! The plan is written to standard input of the process and the measurement read from its standard output, both as
+//! JSON.
 
 use crate::error::ScaleError;
 use crate::interrupt::Interrupt;
@@ -15,10 +16,10 @@
 
 /// Name of the subcommand that makes one run.
 pub const RUN_SUBCOMMAND: &str = "policy-run";
-/// Span between two looks at whether the run is over.
+/// Interval at which the process is polled for its end.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Makes the run whose plan stands on standard input.
+/// Makes the run whose plan is on standard input.
 pub(super) fn run_from_stdin() -> Result<(), ScaleError> {
     let plan: RunPlan = serde_json::from_reader(io::stdin().lock())?;
     let measurement = run::measure(&plan)?;
@@ -28,7 +29,7 @@
     Ok(())
 }
 
-/// Makes a run in a new process; none if the user interrupts it.
+/// Makes a run in a new process; `None` if the user interrupts it.
 pub(super) fn spawn_run(plan: &RunPlan, interrupt: &Interrupt) -> Result<Option<RunMeasurement>, ScaleError> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg(RUN_SUBCOMMAND)
@@ -43,7 +44,7 @@
         return Ok(None);
     }
     let output = child.wait_with_output()?;
-    // The process gets the interrupts of the terminal too, and may have ended by one.
+    // The process also receives SIGINT from the terminal and may have been ended by it.
     if interrupt.is_received() || output.status.signal() == Some(Signal::INT.as_raw()) {
         return Ok(None);
     }
@@ -54,7 +55,7 @@
     Ok(Some(serde_json::from_slice(&output.stdout)?))
 }
 
-/// Waits for the process to end, or ends it where the user interrupts; gives whether it ended by itself.
+/// Waits for the process to end, or kills it if the user interrupts. Returns whether it ended by itself.
 fn wait_unless_interrupted(child: &mut Child, interrupt: &Interrupt) -> io::Result<bool> {
     while child.try_wait()?.is_none() {
         if interrupt.is_received() {
--- a/scale/src/policy/settings.rs
+++ b/scale/src/policy/settings.rs
@@ -1,4 +1,4 @@
-//! The scenario of `scale policy`: its keys and their ranges.
+//! Scenario of `scale policy`: its keys and their ranges.
 
 use crate::bounded_integer::BoundedInteger;
 use crate::deployment::{ClassSettings, Deployment, PositiveMilliseconds};
@@ -6,20 +6,20 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-/// A number of destinations listed.
+/// Number of destinations in the endpoint list.
 pub(super) type ListedCount = BoundedInteger<1, 1_000_000_000>;
-/// A number of destinations that get traffic.
+/// Number of destinations that receive traffic.
 pub(super) type ActiveCount = BoundedInteger<1, 1_000_000_000>;
-/// A number of messages held.
+/// Number of messages held.
 pub(super) type HeldCount = BoundedInteger<0, 1_000_000_000>;
-/// A number of runs.
+/// Number of runs per point.
 pub(super) type RunCount = BoundedInteger<1, 1_000>;
-/// A number of requests.
+/// Number of requests.
 type RequestCount = BoundedInteger<1, 100_000_000>;
-/// A short span in microseconds.
+/// A short duration in microseconds.
 type ShortMicroseconds = BoundedInteger<10, 10_000_000>;
 
-/// A scenario file.
+/// Contents of a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PolicyScenario {
@@ -59,7 +59,7 @@
     pub time_budget_ms: PositiveMilliseconds,
 }
 
-/// The series by destinations listed.
+/// The series by listed destinations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ListedSeries {
@@ -67,7 +67,7 @@
     pub active: ActiveCount,
 }
 
-/// The series by destinations active.
+/// The series by active destinations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ActiveSeries {
@@ -75,7 +75,7 @@
     pub listed: ListedCount,
 }
 
-/// The series by messages held.
+/// The series by held messages.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct BacklogSeries {
@@ -86,13 +86,13 @@
 }
 
 impl PolicySettings {
-    /// The place of a class, if there is one of this name.
+    /// Returns the index of the class with this name.
     pub fn class_index(&self, name: &str) -> Option<u32> {
         let index = self.classes.iter().position(|class| class.name == name)?;
         u32::try_from(index).ok()
     }
 
-    /// The settings in the form that the delivery policy takes.
+    /// Returns the settings in the form that the delivery policy takes.
     pub fn to_policy_settings(&self) -> Settings {
         let deployment = Deployment {
             replicas: self.replicas.get(),
--- a/scale/src/policy/simulation.rs
+++ b/scale/src/policy/simulation.rs
@@ -1,7 +1,9 @@
-//! A forwarder on a virtual clock: it feeds the delivery policy, carries out what it decides, and counts.
+//! A simulated forwarder on a virtual clock: feeds events to the delivery policy, executes its actions and counts
+//! both.
 //!
-//! Events of one moment are passed in together, as a forwarder does. Timers have a moment of their own, before
-//! the traffic of the same time: so the cost of periodic maintenance is separate from that of requests.
+//! Events of one point in time are passed in together, as the forwarder does. Timers are processed apart from and
+//! before the traffic of the same time, so that the CPU time of periodic maintenance is separate from that of
+//! requests.
 
 use crate::call::Call;
 use crate::cpu_clock::ThreadCpuClock;
@@ -16,10 +18,10 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::Duration;
 
-/// The virtual clock's first reading.
+/// Initial time of the virtual clock.
 const START: Micros = 5_000_000;
 
-/// Number of events and actions so far. The same for the same seed.
+/// Number of events and actions so far; the same for the same seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Counts {
     /// Messages submitted.
@@ -28,35 +30,36 @@
     pub calls: u64,
     /// Messages delivered.
     pub delivered: u64,
-    /// Messages that the policy ended undelivered.
+    /// Messages that the policy refused or failed.
     pub ended: u64,
     /// Actions of all kinds.
     pub actions: u64,
-    /// Timers that fell due.
+    /// Timers that expired.
     pub timers: u64,
 }
 
-/// How far a message has come.
+/// State of a tracked message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum MessageState {
     #[default]
     Pending,
     Delivered,
-    /// Its destination has asked for a pause, which outlasts the run.
+    /// Rejected with a Retry-After that exceeds the duration of the run.
     Rejected,
 }
 
-/// A message that is on its way.
+/// A message that is scheduled for submission or has been sent, until it is delivered, rejected or ended by the
+/// policy.
 #[derive(Debug, Default)]
 struct TrackedMessage {
     attempts: u32,
-    /// The attempt that is out.
+    /// Index of the attempt in flight.
     attempt_in_flight: Option<u32>,
     state: MessageState,
     cpu_time: Duration,
 }
 
-/// What is to happen. Timers stand first, so that they go before traffic of the same time.
+/// A scheduled event. Timers are the first variant, so that they sort before traffic of the same time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
     Timer { token: u32 },
@@ -69,11 +72,11 @@
     Succeeded,
     TimedOut,
     Cancelled,
-    /// Refused, with a Retry-After of this span.
+    /// Rejected, with a Retry-After of this duration.
     Rejected(Micros),
 }
 
-/// A forwarder with its destinations; each has one endpoint, of the same number.
+/// A forwarder and its destinations. Each destination has one endpoint, of the same number.
 #[derive(Debug)]
 pub(super) struct Simulation {
     policy: PolicyUnderTest,
@@ -88,18 +91,18 @@
     deadlines: Vec<Micros>,
     listed_rate: ListedRate,
     service_time: Micros,
-    /// Where all calls take the same time.
+    /// Set while all calls take the same time.
     fixed_service_time: Option<Micros>,
     last_id: MessageId,
     counts: Counts,
     maintenance_cpu_time: Duration,
-    /// Processor time of each message delivered, if it is kept.
+    /// CPU time of each delivered message, if recorded.
     delivered_cpu_times: Option<Vec<Duration>>,
     actions: Vec<Action>,
 }
 
 impl Simulation {
-    /// A forwarder that has just come up and knows of no destination.
+    /// Creates a forwarder that starts without any destination.
     pub fn new(seed: u64, settings: Settings, service_time: Micros) -> Simulation {
         Simulation {
             now: START,
@@ -123,37 +126,37 @@
         }
     }
 
-    /// What was counted so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Processor time of timers so far, with the decisions that followed them.
+    /// Returns the CPU time of timers so far, including the decisions that follow them.
     pub fn maintenance_cpu_time(&self) -> Duration {
         self.maintenance_cpu_time
     }
 
-    /// Messages that are neither delivered nor ended.
+    /// Returns the number of messages that are neither delivered nor ended.
     pub fn held(&self) -> u64 {
         self.counts.requests - self.counts.delivered - self.counts.ended
     }
 
-    /// Keeps the processor time of each message that is delivered from now on.
+    /// Records the CPU time of each message that is delivered from now on.
     pub fn record_cpu_times(&mut self) {
         self.delivered_cpu_times = Some(Vec::new());
     }
 
-    /// Processor time of each message that was delivered since it is kept.
+    /// Returns the recorded CPU times and stops recording.
     pub fn take_cpu_times(&mut self) -> Vec<Duration> {
         self.delivered_cpu_times.take().unwrap_or_default()
     }
 
-    /// Requests from now on are of this class.
+    /// Sets the class of the requests that follow.
     pub fn set_request_class(&mut self, class: u32) {
         self.request_class = class;
     }
 
-    /// Passes in the whole list of destinations, numbered from 0.
+    /// Passes the full endpoint list to the policy, with destinations numbered from 0.
     pub fn publish_list(&mut self, count: DestinationId, rate: f64) {
         let rate = if self.listed_rate == ListedRate::Unknown { 0.0 } else { rate };
         let endpoint = |number| Endpoint { target: number, destination: number, rate, ..Endpoint::default() };
@@ -161,7 +164,7 @@
         self.advance(vec![Event::List { kind: ListKind::Full, version: 1, endpoints }]);
     }
 
-    /// These destinations answer each call with a Retry-After of this span from now on.
+    /// Makes these destinations reject each call with this Retry-After.
     pub fn reject_with_retry_after(
         &mut self, destinations: impl IntoIterator<Item = DestinationId>, retry_after: Micros,
     ) {
@@ -169,8 +172,8 @@
         self.retry_after = retry_after;
     }
 
-    /// Submits a request for each of the destinations, all at one moment, and lets time pass until none of them is
-    /// on its way. All calls take the same time.
+    /// Submits a request for each destination at the same time and runs until none of them is tracked any more. All
+    /// calls take the same time.
     pub fn submit_each_and_wait(&mut self, destinations: &[DestinationId]) {
         self.fixed_service_time = Some(self.random_service_time());
         for destination in destinations {
@@ -180,7 +183,7 @@
         self.fixed_service_time = None;
     }
 
-    /// Submits a request for each of the destinations, all at one moment, and leaves them waiting.
+    /// Submits a request for each destination at the same time, without letting time pass.
     pub fn submit_each(&mut self, destinations: impl IntoIterator<Item = DestinationId>) {
         let mut events = Vec::new();
         for destination in destinations {
@@ -190,19 +193,19 @@
         self.advance(events);
     }
 
-    /// Schedules a request. Its message counts as on its way from now on.
+    /// Schedules a request after `span`. Its message is tracked from now on.
     pub fn schedule_request(&mut self, span: Micros, destination: DestinationId) {
         let id = self.new_id();
         self.tracked.insert(id, TrackedMessage::default());
         self.schedule.push(Reverse((self.now + span, ScheduledEvent::Request { id, destination })));
     }
 
-    /// Lets time pass until no message is on its way. Timers fall due on the way.
+    /// Runs until no message is tracked. Timers that are due are processed.
     pub fn run_until_idle(&mut self) {
         while !self.tracked.is_empty() && self.step() {}
     }
 
-    /// Lets a span pass.
+    /// Advances the clock by `span` and processes the events due.
     pub fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         while self.schedule.peek().is_some_and(|Reverse((at, _))| *at <= end) {
@@ -211,7 +214,7 @@
         self.now = end;
     }
 
-    /// Processes the next moment, if there is one.
+    /// Processes the events of the next point in time; returns false if there are none.
     pub fn step(&mut self) -> bool {
         let Some(Reverse((at, first))) = self.schedule.pop() else { return false };
         self.now = at;
@@ -229,13 +232,13 @@
         self.maintenance_cpu_time += cpu_time;
     }
 
-    /// Processes the traffic of this moment.
+    /// Processes the traffic due now, starting with `first`.
     fn process_traffic(&mut self, first: ScheduledEvent) {
         let mut events = Vec::new();
         let mut ids = Vec::new();
         let mut next = Some(first);
         while let Some(scheduled) = next {
-            if let Some((id, event)) = self.to_event(scheduled) {
+            if let Some((id, event)) = self.policy_event(scheduled) {
                 events.push(event);
                 ids.push(id);
             }
@@ -249,7 +252,8 @@
         self.attribute_cpu_time(&ids, cpu_time);
     }
 
-    /// Gives each message of a moment its part of the moment's cost, and drops those that are delivered or paused.
+    /// Divides the CPU time of a batch evenly among its messages, and stops tracking those that are delivered or
+    /// rejected.
     fn attribute_cpu_time(&mut self, ids: &[MessageId], cpu_time: Duration) {
         let share = cpu_time.div_f64(ids.len() as f64);
         for id in ids {
@@ -266,8 +270,8 @@
         }
     }
 
-    /// The event for the policy, and its message; none for an answer to an attempt that is over.
-    fn to_event(&mut self, scheduled: ScheduledEvent) -> Option<(MessageId, Event)> {
+    /// Returns the event for the policy and its message; `None` if the attempt has already ended.
+    fn policy_event(&mut self, scheduled: ScheduledEvent) -> Option<(MessageId, Event)> {
         match scheduled {
             ScheduledEvent::Timer { .. } => None,
             ScheduledEvent::Request { id, destination } => Some((id, self.request_event(id, destination))),
@@ -306,7 +310,7 @@
         Some(call.end_event(self.now, outcome, is_delivered, retry_after))
     }
 
-    /// Passes in the events of this moment and carries out what is decided; gives the policy's processor time.
+    /// Passes the events due now to the policy and executes its actions; returns the CPU time of the policy.
     fn advance(&mut self, events: Vec<Event>) -> Duration {
         let mut actions = std::mem::take(&mut self.actions);
         let (policy, now) = (&mut self.policy, self.now);
@@ -350,7 +354,7 @@
         self.schedule.push(Reverse((at, ScheduledEvent::CallEnd { call, end })));
     }
 
-    /// Cancels an attempt. Its regular answer is ignored if it comes later.
+    /// Cancels an attempt. A later end of the call is ignored.
     fn cancel(&mut self, id: MessageId, attempt: u32) {
         let call = Call { id, attempt, target: TargetId::default(), sent_at: self.now };
         let cancelled = ScheduledEvent::CallEnd { call, end: CallEnd::Cancelled };
--- a/scale/src/policy_under_test.rs
+++ b/scale/src/policy_under_test.rs
@@ -1,20 +1,20 @@
-//! The delivery policy that is measured. Its type is named only here.
+//! The delivery policy under measurement. Only this module names its type.
 
 use hatchline::{Action, DeliveryPolicy, Event, Micros, Settings};
 
-/// One instance of the delivery policy.
+/// An instance of the delivery policy.
 #[derive(Debug)]
 pub struct PolicyUnderTest {
     policy: DeliveryPolicy,
 }
 
 impl PolicyUnderTest {
-    /// A policy that has just come up.
+    /// Creates a policy that starts at `now`.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> PolicyUnderTest {
         PolicyUnderTest { policy: DeliveryPolicy::new(now, seed, settings) }
     }
 
-    /// Passes on all events of one moment, and takes the decisions that follow.
+    /// Feeds all events of one point in time to the policy and lets it decide.
     pub fn advance(
         &mut self, now: Micros, events: impl IntoIterator<Item = Event>, actions: &mut Vec<Action>,
     ) {
--- a/scale/src/process_usage.rs
+++ b/scale/src/process_usage.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of another process, as reported by the kernel.
+//! Memory and CPU time of another process, as reported by the kernel.
 
 use procfs::process::Process;
 use procfs::{ProcError, ProcResult};
@@ -6,18 +6,18 @@
 
 const BYTES_PER_KIBIBYTE: u64 = 1_024;
 
-/// Bytes of memory of a process that are resident now: VmRSS of its `status`. It may be off by some dozens of pages for
-/// each processor.
+/// Returns the resident memory of a process in bytes: VmRSS in its `status`. It may be off by some dozens of pages
+/// per CPU.
 pub fn resident_bytes(process_id: u32) -> ProcResult<u64> {
     let resident = open_process(process_id)?.status()?.vmrss;
     let kibibytes = resident.ok_or_else(|| ProcError::Other("status has no VmRSS".to_owned()))?;
     Ok(kibibytes * BYTES_PER_KIBIBYTE)
 }
 
-/// Processor time that the threads of a process have taken so far, in user and kernel mode together.
+/// Returns the CPU time that the live threads of a process have used, in user and kernel mode together.
 ///
-/// It is the sum that `stat` gives as utime and stime in ticks of 10 ms. It is read from `schedstat`, in nanoseconds: an
-/// idle process takes less than a tick a second. Threads that have ended are left out.
+/// `stat` reports the same sum as utime and stime, in ticks of 10 ms. An idle process uses less than a tick per
+/// second, so the time is read from `schedstat`, in nanoseconds. Threads that have exited are not counted.
 pub fn cpu_time(process_id: u32) -> ProcResult<Duration> {
     let mut total = Duration::ZERO;
     for task in open_process(process_id)?.tasks()? {
--- a/scale/src/provenance.rs
+++ b/scale/src/provenance.rs
@@ -1,11 +1,12 @@
-//! Where results come from: the commit of the build and the command line.
+//! Provenance of results: the commit of the build and the command line.
 
 use serde::Serialize;
 
-/// The commit that the tool was built from, or "unknown"; with "-dirty" if its files differed from it.
+/// The commit that the tool was built from, or "unknown". The suffix "-dirty" says that tracked files differed from
+/// it.
 pub const COMMIT: &str = env!("SCALE_COMMIT");
 
-/// Origin of a record.
+/// Provenance of a record.
 #[derive(Clone, Debug, Serialize)]
 pub struct Provenance {
     /// Seed of all pseudo-random choices.
@@ -17,7 +18,7 @@
 }
 
 impl Provenance {
-    /// The origin of the results of this process.
+    /// Provenance of the results of this process.
     pub fn of_this_process(seed: u64) -> Provenance {
         Provenance { seed, commit: COMMIT, command_line: std::env::args().collect() }
     }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! Results: tables for people, and records in a file, one JSON object a line.
+//! Output of results: tables for readers, and records in a file, one JSON object per line.
 
 use crate::error::ScaleError;
 use crate::provenance::Provenance;
@@ -11,10 +11,11 @@
 use std::path::{Path, PathBuf};
 use tempfile::{Builder, NamedTempFile};
 
-/// Mode of the records' file, less what the user's mask takes off.
+/// Permissions of the records file, before the umask is applied.
 const RECORD_FILE_MODE: u32 = 0o666;
 
-/// A file of records. It appears, or replaces the one of its name, only whole: when it is committed.
+/// A records file that is written under a temporary name. Its path appears, or is replaced, only when it is
+/// committed.
 #[derive(Debug)]
 pub struct RecordFile {
     path: PathBuf,
@@ -22,7 +23,8 @@
 }
 
 impl RecordFile {
-    /// Starts a file in the folder of its name, so that one that cannot be written is known at once.
+    /// Creates the temporary file in the directory of `path`, so that an unwritable directory is reported before the
+    /// experiment runs.
     pub fn create(path: &Path) -> Result<RecordFile, ScaleError> {
         let directory = match path.parent() {
             Some(directory) if directory != Path::new("") => directory,
@@ -37,14 +39,14 @@
         Ok(RecordFile { path: path.to_owned(), temporary })
     }
 
-    /// Adds a record.
+    /// Appends a record.
     pub fn write(&mut self, record: &impl Serialize) -> Result<(), ScaleError> {
         let mut line = serde_json::to_vec(record)?;
         line.push(b'\n');
         self.temporary.write_all(&line).map_err(|source| write_error(&self.path, source))
     }
 
-    /// Puts the file in its place.
+    /// Syncs the file and renames it to its path.
     pub fn commit(self) -> Result<(), ScaleError> {
         let RecordFile { path, temporary } = self;
         temporary.as_file().sync_all().map_err(|source| write_error(&path, source))?;
@@ -57,7 +59,7 @@
     ScaleError::WriteRecords { path: path.to_owned(), source }
 }
 
-/// A record: its experiment, its origin and what was measured.
+/// A record: the experiment, its provenance and what was measured.
 #[derive(Debug, Serialize)]
 pub struct Record<'a, Body> {
     experiment: &'static str,
@@ -68,13 +70,13 @@
 }
 
 impl<'a, Body: Serialize> Record<'a, Body> {
-    /// A record of an experiment.
+    /// Creates a record of an experiment.
     pub fn new(experiment: &'static str, provenance: &'a Provenance, body: Body) -> Record<'a, Body> {
         Record { experiment, provenance, body }
     }
 }
 
-/// A table of right-aligned columns.
+/// Formats a table with right-aligned columns.
 pub fn table(header: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN).set_header(header);
@@ -87,13 +89,13 @@
     table.to_string()
 }
 
-/// A spread in a cell: median, least and greatest.
+/// Formats a summary for a table cell: the median, then minimum and maximum in brackets.
 pub fn summary_cell(summary: SampleSummary) -> String {
     let SampleSummary { median, min, max } = summary;
     format!("{} [{}, {}]", number_cell(median), number_cell(min), number_cell(max))
 }
 
-/// A number with about three significant digits; whole from a hundred on.
+/// Formats a number with about three significant digits, as an integer from 100 on.
 pub fn number_cell(number: f64) -> String {
     let decimals = match number.abs() {
         size if size == 0.0 || size >= 100.0 => 0,
--- a/scale/src/scenario.rs
+++ b/scale/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: TOML, with errors that name file, line and key.
+//! Scenario files in TOML. Errors name the file, the line and the key.
 
 use serde::de::DeserializeOwned;
 use std::io;
@@ -12,26 +12,26 @@
     /// The file cannot be read.
     #[error("{}: cannot be read: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// Underlying I/O error.
         source: io::Error,
     },
-    /// A line is no TOML, has an unknown key, or a value that does not fit.
+    /// The file is not valid TOML, has an unknown key or has a value that does not fit.
     #[error("{}:{line}: {key}: {reason}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The key with those of the tables around it.
+        /// The key, with the tables that contain it.
         key: String,
-        /// What is wrong.
+        /// Why the value is rejected.
         reason: String,
     },
 }
 
-/// The text of a scenario file.
+/// The text of a scenario file and its path.
 #[derive(Clone, Debug)]
 pub struct ScenarioFile {
     path: PathBuf,
@@ -39,7 +39,7 @@
 }
 
 impl ScenarioFile {
-    /// The file of this path, or else the scenario that is part of the tool.
+    /// Reads the file at `path`, or uses the built-in scenario if there is no path.
     pub fn load(
         path: Option<&Path>, built_in_name: &str, built_in_text: &str,
     ) -> Result<ScenarioFile, ScenarioError> {
@@ -49,19 +49,19 @@
         }
     }
 
-    /// A scenario that is part of the tool.
+    /// Returns a built-in scenario.
     pub fn built_in(name: &str, text: &str) -> ScenarioFile {
         ScenarioFile { path: PathBuf::from(name), text: text.to_owned() }
     }
 
-    /// Reads a file.
+    /// Reads a scenario file.
     pub fn read(path: &Path) -> Result<ScenarioFile, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ScenarioError::Unreadable { path: path.to_owned(), source })?;
         Ok(ScenarioFile { path: path.to_owned(), text })
     }
 
-    /// Where it was read from.
+    /// Returns the path that errors name.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -76,7 +76,7 @@
         })
     }
 
-    /// An error at a place of the text.
+    /// Creates an error at a position of the text.
     pub fn error_at(&self, span: Range<usize>, key: &str, reason: impl Into<String>) -> ScenarioError {
         let before = &self.text.as_bytes()[..span.start.min(self.text.len())];
         let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
--- a/scale/src/statistics.rs
+++ b/scale/src/statistics.rs
@@ -2,22 +2,22 @@
 
 use serde::Serialize;
 
-/// Runs from which on a slope is worth telling.
+/// Minimum number of runs for which slopes are reported.
 pub const MIN_RUNS_FOR_SLOPES: usize = 5;
 
-/// The middle of some measurements, and the least and the greatest.
+/// Median, minimum and maximum of repeated measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct SampleSummary {
-    /// The median.
+    /// Median of the values.
     pub median: f64,
-    /// The least.
+    /// Smallest value.
     pub min: f64,
-    /// The greatest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl SampleSummary {
-    /// The spread of some measurements, or none if there are none.
+    /// Summarizes the values; `None` if there are none.
     pub fn from_values(values: impl IntoIterator<Item = f64>) -> Option<SampleSummary> {
         let mut sorted: Vec<f64> = values.into_iter().collect();
         sorted.sort_by(f64::total_cmp);
@@ -25,7 +25,7 @@
         Some(SampleSummary { median: median_of_sorted(&sorted), min, max })
     }
 
-    /// The same in another unit.
+    /// Returns the summary in another unit.
     pub fn scaled(self, factor: f64) -> SampleSummary {
         SampleSummary { median: self.median * factor, min: self.min * factor, max: self.max * factor }
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Slope of the straight line that fits the points (x, y) best by least squares; none if all x are the same.
+/// Returns the slope of the line that fits the points (x, y) by least squares; `None` if all x are equal.
 pub fn least_squares_slope(points: &[(f64, f64)]) -> Option<f64> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -50,8 +50,8 @@
     (variance > 0.0).then(|| covariance / variance)
 }
 
-/// The spread of the slopes of runs: one slope for each run, through the points that it has of that run; none where the
-/// points of a run do not differ.
+/// Summarizes the slopes of the runs, each by least squares over the points of that run; `None` if the points of a
+/// run all have the same x.
 pub fn slope_over_runs(runs: usize, points: impl Fn(usize) -> Vec<(f64, f64)>) -> Option<SampleSummary> {
     let slopes: Option<Vec<f64>> = (0..runs).map(|run| least_squares_slope(&points(run))).collect();
     SampleSummary::from_values(slopes?)
