--- a/scale/build.rs
+++ b/scale/build.rs
@@ -1,4 +1,4 @@
-//! Records the commit that the tool is built from, for the provenance of its results.
+//! Embeds the commit that the tool is built from, for the provenance of its results.
 
 use std::process::Command;
 
@@ -9,14 +9,14 @@
     println!("cargo:rerun-if-changed=src");
     println!("cargo:rerun-if-changed=../src");
     println!("cargo:rerun-if-changed=../Cargo.lock");
-    // The log of HEAD changes with each commit and each checkout.
+    // The log of HEAD changes with every commit and checkout.
     if let Some(head_log) = git(&["rev-parse", "--path-format=absolute", "--git-path", "logs/HEAD"]) {
         println!("cargo:rerun-if-changed={head_log}");
     }
     println!("cargo:rustc-env=SCALE_COMMIT={}", commit());
 }
 
-/// The commit of HEAD, marked if tracked files differ from it.
+/// Returns the commit of HEAD, with the suffix `-dirty` if tracked files differ from it.
 fn commit() -> String {
     let Some(commit) = git(&["rev-parse", "HEAD"]) else { return UNKNOWN_COMMIT.to_owned() };
     let changes = git(&["status", "--porcelain", "--untracked-files=no"]);
@@ -26,7 +26,7 @@
     }
 }
 
-/// The output of a git command, or none if git or the repository is missing.
+/// Returns the output of a git command; `None` if git or the repository is missing.
 fn git(arguments: &[&str]) -> Option<String> {
     let output = Command::new("git").args(arguments).output().ok()?;
     let text = String::from_utf8(output.stdout).ok()?;
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -1,17 +1,17 @@
-//! `scale fleet` through its binary, at a small size.
+//! Tests of `scale fleet` through its binary, on a small scenario.
 
 mod common;
 
 use common::{assert_wrong_lines_are_reported, of_kind, records, Folder, WrongLine, STATUS_INTERRUPTED};
 use serde_json::Value;
 
-/// A scenario that takes a moment.
+/// Small scenario: two fleet sizes and 100 s of virtual time.
 const SCENARIO: &str = include_str!("common/small_fleet.toml");
-/// Calls that the rules allow in a window: right after the return, and from the end of the ramp on.
-const ALLOWED_WHEN_COLD: f64 = 9.62;
-const ALLOWED_WHEN_WARM: f64 = 29.42;
+/// Calls that the contract allows in a window: right after the outage, and from the end of the ramp on.
+const ALLOWED_CALLS_WHEN_COLD: f64 = 9.62;
+const ALLOWED_CALLS_WHEN_WARM: f64 = 29.42;
 
-/// Runs the small scenario; gives its records.
+/// Runs the small scenario and returns its records.
 fn points(folder: &Folder, arguments: &[&str]) -> Vec<Value> {
     let run = ["fleet", "--scenario", "small.toml", "--json", "out.jsonl"];
     let output = folder.scale(&[&run[..], arguments].concat());
@@ -20,23 +20,23 @@
     records(&folder.read("out.jsonl"))
 }
 
-/// The figures of the points, without what tells of the command.
-fn figures(mut points: Vec<Value>) -> Vec<Value> {
+/// The records without the command line, which differs between invocations.
+fn without_command_line(mut points: Vec<Value>) -> Vec<Value> {
     for point in &mut points {
         point.as_object_mut().unwrap().remove("command_line");
     }
     points
 }
 
-/// A number of a record, which lies in a range.
-fn number_in(point: &Value, path: &str, least: f64, most: f64) -> f64 {
+/// Returns a number of a record after checking its range.
+fn number_in(point: &Value, path: &str, min: f64, max: f64) -> f64 {
     let number = point.pointer(path).and_then(Value::as_f64).expect(path);
-    assert!((least..=most).contains(&number), "{path} is {number}: {point}");
+    assert!((min..=max).contains(&number), "{path} is {number}: {point}");
     number
 }
 
 #[test]
-fn a_small_run_prints_tables_and_writes_a_record_a_point() {
+fn a_run_prints_tables_and_writes_one_record_per_point() {
     let folder = Folder::with_scenario(SCENARIO);
     let output = folder.scale(&["fleet", "--scenario", "small.toml"]);
     assert!(output.status.success(), "{output:?}");
@@ -62,24 +62,24 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures_on_any_number_of_threads() {
+fn the_same_seed_gives_the_same_results_on_any_number_of_threads() {
     let folder = Folder::with_scenario(SCENARIO);
-    let first = figures(points(&folder, &["--seed", "11", "--threads", "1"]));
+    let first = without_command_line(points(&folder, &["--seed", "11", "--threads", "1"]));
     assert_eq!(first.len(), 4);
-    assert_eq!(first, figures(points(&folder, &["--seed", "11", "--threads", "4"])));
-    assert_ne!(first, figures(points(&folder, &["--seed", "12"])));
+    assert_eq!(first, without_command_line(points(&folder, &["--seed", "11", "--threads", "4"])));
+    assert_ne!(first, without_command_line(points(&folder, &["--seed", "12"])));
 }
 
 #[test]
-fn answers_learned_are_those_of_the_traffic() {
+fn learned_responses_match_the_traffic() {
     let folder = Folder::with_scenario(SCENARIO);
     let points = points(&folder, &["--cases", "refused"]);
-    // A destination gets 1.5 messages a second: 90 in the steady phase, for two or ten replicas.
-    for (point, answers) in points.iter().zip([45.0, 9.0]) {
+    // A destination gets 1.5 messages per second: 90 in the steady phase, spread over two or ten replicas.
+    for (point, responses) in points.iter().zip([45.0, 9.0]) {
         number_in(point, "/steady/pairs_met_share", 0.9, 1.0);
-        number_in(point, "/steady/answers_of_pairs_met/median", 0.6 * answers, 1.5 * answers);
-        // The twenty answers take so many seconds at that rate.
-        let seconds = 20.0 * 60.0 / answers;
+        number_in(point, "/steady/answers_of_pairs_met/median", 0.6 * responses, 1.5 * responses);
+        // Time in which a pair gets 20 responses at that rate.
+        let seconds = 20.0 * 60.0 / responses;
         number_in(point, "/steady/seconds_until_trusted", 0.6 * seconds, 1.5 * seconds);
     }
     number_in(&points[0], "/steady/pairs_trusted_share", 0.9, 1.0);
@@ -91,19 +91,21 @@
     let folder = Folder::with_scenario(SCENARIO);
     for point in points(&folder, &[]) {
         for window in ["worst_window", "worst_window_of_any"] {
-            let allowed = |path: &str| format!("/outage/{window}/{path}");
-            let allowed_calls = number_in(&point, &allowed("allowed"), ALLOWED_WHEN_COLD, ALLOWED_WHEN_WARM);
-            // Two replicas keep to it. Of ten, each of which knows but its own calls, this bounds the figure alone.
-            let most = if point["replicas"] == 2 { allowed_calls } else { 2.0 * allowed_calls };
-            number_in(&point, &allowed("calls"), 1.0, most);
+            let key = |path: &str| format!("/outage/{window}/{path}");
+            let allowed_calls =
+                number_in(&point, &key("allowed"), ALLOWED_CALLS_WHEN_COLD, ALLOWED_CALLS_WHEN_WARM);
+            // Two replicas stay within the allowed calls. Each of ten replicas knows only its own calls, so for them
+            // the number is only bounded loosely.
+            let max_calls = if point["replicas"] == 2 { allowed_calls } else { 2.0 * allowed_calls };
+            number_in(&point, &key("calls"), 1.0, max_calls);
         }
         let over_budget = number_in(&point, "/outage/destinations_over_budget", 0.0, 3.0);
         let exceeds = |load: &Value| load["calls"].as_f64().unwrap() > load["allowed"].as_f64().unwrap();
         assert_eq!(over_budget > 0.0, exceeds(&point["outage"]["worst_window"]), "{point}");
-        // Each destination is tried while it is down, and not by each attempt of each message.
+        // Each destination is called while it is down, but not with every attempt of every message.
         number_in(&point, "/outage/calls_while_down/min", 1.0, 60.0);
         number_in(&point, "/outage/calls_while_down/max", 1.0, 60.0);
-        // What arrives less than its deadline before the return can still be delivered.
+        // Messages that arrive less than their deadline before the end of the outage can still be delivered.
         number_in(&point, "/outage/delivered_share_of_outage", 0.05, 1.0);
         let recovery = number_in(&point, "/outage/delivered_share_of_recovery", 0.5, 1.0);
         assert!(recovery >= point["outage"]["delivered_share_of_outage"].as_f64().unwrap(), "{point}");
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn sizes_and_cases_of_the_command_line_replace_those_of_the_scenario() {
+fn command_line_sizes_and_cases_override_the_scenario() {
     let folder = Folder::with_scenario(SCENARIO);
     let points = points(&folder, &["--sizes", "1,3", "--cases", "silent"]);
     let keys: Vec<_> = points.iter().map(|point| (&point["replicas"], &point["case"])).collect();
@@ -127,14 +129,14 @@
 ];
 
 #[test]
-fn a_wrong_scenario_is_reported_on_one_line_with_file_line_and_key() {
+fn scenario_errors_name_file_line_and_key() {
     assert_wrong_lines_are_reported(SCENARIO, &["fleet", "--scenario", "small.toml"], &WRONG_LINES);
 }
 
 #[test]
-fn an_interrupt_leaves_the_points_that_are_done() {
+fn an_interrupt_keeps_completed_points() {
     let folder = Folder::with_scenario(SCENARIO);
-    // Far more points than are done before the interrupt.
+    // More points than can complete before the interrupt.
     let sizes = vec!["2"; 2_000].join(",");
     let arguments = ["fleet", "--scenario", "small.toml", "--sizes", &sizes, "--json", "out.jsonl"];
     let output = folder.scale_interrupted_after(&arguments, "point simulated");
--- a/scale/tests/policy.rs
+++ b/scale/tests/policy.rs
@@ -1,4 +1,4 @@
-//! `scale policy` through its binary, at a small size.
+//! Tests of `scale policy` through its binary, on a small scenario.
 
 mod common;
 
@@ -6,11 +6,11 @@
     assert_wrong_lines_are_reported, of_kind, records, rejection, Folder, WrongLine, STATUS_INTERRUPTED,
 };
 
-/// A scenario that takes a moment.
+/// Small scenario that runs quickly.
 const SCENARIO: &str = include_str!("common/small_policy.toml");
 
 #[test]
-fn a_small_run_prints_tables_and_writes_a_record_a_point() {
+fn a_run_prints_tables_and_writes_one_record_per_point() {
     let folder = Folder::with_scenario(SCENARIO);
     let output = folder.scale(&["policy", "--scenario", "small.toml", "--json", "out.jsonl"]);
     assert!(output.status.success(), "{output:?}");
@@ -38,7 +38,7 @@
         }
         let held = point["backlog"].as_u64().unwrap();
         let served = 3 * point["active"].as_u64().unwrap();
-        // The backlog, what warms the destinations up, and the fewest requests measured.
+        // The backlog, the warm-up of the active destinations, and the minimum number of measured requests.
         assert_eq!(point["counts"]["requests"], held + served + 10, "{point}");
     }
     assert_eq!(of_kind(&records, "slope").len(), 3);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn points_of_the_command_line_replace_those_of_the_scenario() {
+fn command_line_points_override_the_scenario() {
     let folder = Folder::with_scenario(SCENARIO);
     let arguments = ["policy", "--scenario", "small.toml", "--runs", "1", "--json", "out.jsonl"];
     let points = ["--series", "listed,backlog", "--listed", "15,25", "--backlog", "8"];
@@ -98,7 +98,7 @@
 ];
 
 #[test]
-fn a_wrong_scenario_is_reported_on_one_line_with_file_line_and_key() {
+fn scenario_errors_name_file_line_and_key() {
     assert_wrong_lines_are_reported(SCENARIO, &["policy", "--scenario", "small.toml"], &WRONG_LINES);
 }
 
@@ -110,21 +110,21 @@
 }
 
 #[test]
-fn an_unreadable_scenario_is_reported_by_its_name() {
+fn an_unreadable_scenario_is_named_in_the_error() {
     let folder = Folder::with_scenario(SCENARIO);
     let error = rejection(&folder, &["policy", "--scenario", "absent.toml"]);
     assert!(error.starts_with("scale: absent.toml: cannot be read"), "{error}");
 }
 
 #[test]
-fn a_point_of_the_command_line_that_does_not_fit_is_reported() {
+fn a_command_line_point_that_does_not_fit_is_reported() {
     let folder = Folder::with_scenario(SCENARIO);
     let error = rejection(&folder, &["policy", "--scenario", "small.toml", "--active", "5,401"]);
     assert!(error.starts_with("scale: --active: 401 is more than the 400 destinations listed"), "{error}");
 }
 
 #[test]
-fn an_existing_file_of_records_is_replaced_whole_or_left() {
+fn an_existing_records_file_is_replaced_whole_or_kept() {
     let folder = Folder::with_scenario(SCENARIO);
     let old = "an old record\n".repeat(10_000);
     folder.write("out.jsonl", &old);
@@ -137,9 +137,9 @@
 }
 
 #[test]
-fn an_interrupt_leaves_what_is_done() {
+fn an_interrupt_keeps_completed_points() {
     let folder = Folder::with_scenario(SCENARIO);
-    // Far more runs than are made before the interrupt.
+    // More runs than can complete before the interrupt.
     let arguments = ["policy", "--scenario", "small.toml", "--runs", "1000", "--json", "out.jsonl"];
     let output = folder.scale_interrupted_after(&arguments, "run measured");
     assert_eq!(output.status.code(), Some(STATUS_INTERRUPTED), "{output:?}");
--- a/scale/tests/process.rs
+++ b/scale/tests/process.rs
@@ -1,16 +1,17 @@
-//! Figures of another process.
+//! Tests of the CPU time and memory read from another process.
 
 use procfs::process::Process;
 use scale::process_usage::{cpu_time, resident_bytes};
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// What both sources may lag behind, some of their units: the kernel adds up a running thread's time now and then.
+/// Tolerance of some units of both sources, which may lag: the kernel updates the time of a running thread only now
+/// and then.
 const TOLERANCE: Duration = Duration::from_millis(40);
-/// Processor time from which on the comparison means something.
-const ENOUGH: Duration = Duration::from_millis(200);
+/// CPU time after which the comparison is meaningful.
+const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 
-/// A process that never rests. It is killed when this is dropped.
+/// A process that uses CPU time continuously. It is killed on drop.
 struct BusyProcess(Child);
 
 impl BusyProcess {
@@ -18,8 +19,8 @@
         BusyProcess(Command::new("/bin/sh").args(["-c", "while :; do :; done"]).spawn().unwrap())
     }
 
-    /// Processor time as `stat` has it.
-    fn ticks_time(&self) -> Duration {
+    /// CPU time as reported by `stat`.
+    fn stat_cpu_time(&self) -> Duration {
         let stat = Process::new(self.0.id() as i32).unwrap().stat().unwrap();
         let ticks = (stat.utime + stat.stime) as f64;
         Duration::from_secs_f64(ticks / procfs::ticks_per_second() as f64)
@@ -34,21 +35,24 @@
 }
 
 #[test]
-fn processor_time_is_that_of_stat() {
+fn cpu_time_matches_stat() {
     let process = BusyProcess::start();
-    while process.ticks_time() < ENOUGH {
+    while process.stat_cpu_time() < MIN_CPU_TIME {
         std::thread::sleep(Duration::from_millis(10));
     }
-    let before = process.ticks_time();
-    let time = cpu_time(process.0.id()).unwrap();
-    let after = process.ticks_time();
-    assert!(before <= time + TOLERANCE && time <= after + TOLERANCE, "{before:?} {time:?} {after:?}");
+    let before = process.stat_cpu_time();
+    let measured = cpu_time(process.0.id()).unwrap();
+    let after = process.stat_cpu_time();
+    assert!(
+        before <= measured + TOLERANCE && measured <= after + TOLERANCE,
+        "{before:?} {measured:?} {after:?}"
+    );
 }
 
 #[test]
-fn resident_memory_is_some_pages_at_least() {
+fn resident_memory_is_at_least_4096_bytes() {
     let process = BusyProcess::start();
-    while process.ticks_time() < ENOUGH {
+    while process.stat_cpu_time() < MIN_CPU_TIME {
         std::thread::sleep(Duration::from_millis(10));
     }
     assert!(resident_bytes(process.0.id()).unwrap() >= 4096);
