--- a/scale/src/fleet/metrics.rs
+++ b/scale/src/fleet/metrics.rs
@@ -53,8 +53,8 @@
     pub delivered_share_of_outage: Option<f64>,
     pub delivered_share_of_recovery: Option<f64>,
     pub delivered_share_of_run: Option<f64>,
-    /// Seconds from the end of the outage to the first window in which 90 % of the messages that arrived within 5 s
-    /// were delivered within their aim, in steps of 1 s; `None` if there is no such window.
+    /// Seconds from the end of the outage to the start of the first 5 s window of arrivals of which 90 % were
+    /// delivered within their aim. Windows start at whole seconds. `None` if there is no such window.
     pub seconds_until_recovered: Option<f64>,
 }
 
--- a/scale/src/fleet/simulation.rs
+++ b/scale/src/fleet/simulation.rs
@@ -146,8 +146,8 @@
     /// Returns the responses that replicas have received so far.
     pub fn learned_responses(&self) -> LearnedResponses {
         let histories = self.replicas.iter().flatten().flat_map(|replica| &replica.histories);
-        let met = histories.filter(|history| history.messages > 0);
-        LearnedResponses { per_pair_with_traffic: met.map(|history| history.responses).collect() }
+        let with_traffic = histories.filter(|history| history.messages > 0);
+        LearnedResponses { per_pair_with_traffic: with_traffic.map(|history| history.responses).collect() }
     }
 
     /// Ends the simulation and returns what it recorded.
--- a/scale/src/full_set.rs
+++ b/scale/src/full_set.rs
@@ -50,13 +50,13 @@
 
     fn command(&self, experiment: &str) -> Command {
         let mut arguments: Vec<OsString> = vec!["scale".into(), experiment.into()];
-        if let Some(folder) = &self.scenarios {
+        if let Some(directory) = &self.scenarios {
             arguments.push("--scenario".into());
-            arguments.push(folder.join(experiment).with_extension("toml").into());
+            arguments.push(directory.join(experiment).with_extension("toml").into());
         }
-        if let Some(folder) = &self.json {
+        if let Some(directory) = &self.json {
             arguments.push("--json".into());
-            arguments.push(folder.join(experiment).with_extension("jsonl").into());
+            arguments.push(directory.join(experiment).with_extension("jsonl").into());
         }
         Arguments::parse_from(arguments).into_command()
     }
--- a/scale/src/policy/experiment.rs
+++ b/scale/src/policy/experiment.rs
@@ -39,11 +39,11 @@
 }
 
 fn heading(plan: &Plan) -> String {
-    let (least, most) = plan.request_range();
+    let (min_requests, max_requests) = plan.request_range();
     format!(
         "scenario {}, seed {}, commit {COMMIT}\n\
          {} runs a point, each in a process of its own; figures are median [least, greatest] of the runs\n\
-         requests measured in a run: {least} to {most}, as many as fit a time budget of {:?} of processor time a point",
+         requests measured in a run: {min_requests} to {max_requests}, as many as fit a time budget of {:?} of processor time a point",
         plan.scenario_name, plan.seed, plan.runs, plan.time_budget
     )
 }
--- a/scale/src/policy/plan.rs
+++ b/scale/src/policy/plan.rs
@@ -21,7 +21,7 @@
 /// Upper estimates of memory in bytes, by which points that might not fit the machine are skipped.
 const ESTIMATED_BYTES_PER_LISTED_DESTINATION: u64 = 4_096;
 const ESTIMATED_BYTES_PER_HELD_MESSAGE: u64 = 1_024;
-/// A point may use at most this fraction of the machine's memory: one half.
+/// A point may use at most one part in this many of the machine's memory.
 const MEMORY_DIVISOR: u64 = 2;
 
 /// The quantity that grows along a series.
--- a/scale/src/policy/results.rs
+++ b/scale/src/policy/results.rs
@@ -113,8 +113,8 @@
         Some(RecordBody::Point { point: self.point, runs: self.runs.len(), summary: self.summary()? })
     }
 
-    fn summarize(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
-        SampleSummary::from_values(self.runs.iter().map(figure))
+    fn summarize(&self, metric: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+        SampleSummary::from_values(self.runs.iter().map(metric))
     }
 }
 
@@ -183,9 +183,9 @@
 }
 
 /// Fits one slope per run, over the same run of all points, and summarizes the slopes.
-fn slope(results: &[&PointResult], runs: usize, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+fn slope(results: &[&PointResult], runs: usize, metric: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
     let points = |run: usize| {
-        let run_points = results.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
+        let run_points = results.iter().map(|result| (result.point.size() as f64, metric(&result.runs[run])));
         run_points.collect()
     };
     slope_over_runs(runs, points)
--- a/scale/src/policy/simulation.rs
+++ b/scale/src/policy/simulation.rs
@@ -193,11 +193,11 @@
         self.advance(events);
     }
 
-    /// Schedules a request after `span`. Its message is tracked from now on.
-    pub fn schedule_request(&mut self, span: Micros, destination: DestinationId) {
+    /// Schedules a request after `delay`. Its message is tracked from now on.
+    pub fn schedule_request(&mut self, delay: Micros, destination: DestinationId) {
         let id = self.new_id();
         self.tracked.insert(id, TrackedMessage::default());
-        self.schedule.push(Reverse((self.now + span, ScheduledEvent::Request { id, destination })));
+        self.schedule.push(Reverse((self.now + delay, ScheduledEvent::Request { id, destination })));
     }
 
     /// Runs until no message is tracked. Timers that are due are processed.
@@ -298,7 +298,7 @@
             CallEnd::Succeeded => (Outcome::Ok, 0),
             CallEnd::TimedOut => (Outcome::TimedOut, 0),
             CallEnd::Cancelled => (Outcome::Cancelled, 0),
-            CallEnd::Rejected(span) => (Outcome::Rejected, span),
+            CallEnd::Rejected(retry_after) => (Outcome::Rejected, retry_after),
         };
         message.state = match end {
             CallEnd::Succeeded => MessageState::Delivered,
