--- a/scale/src/policy/simulation.rs
+++ b/scale/src/policy/simulation.rs
@@ -67,6 +67,7 @@
     CallEnd { call: Call, end: CallEnd },
 }
 
+/// How a call ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CallEnd {
     Succeeded,
