--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -1,97 +1,100 @@
-//! The deployment that experiments share: classes of messages, contract, and the policy's settings from both.
+//! The deployment that the experiments share: message classes, destination contract, and the policy settings made
+//! from both.
 
-use crate::range::Bounded;
+use crate::bounded_integer::BoundedInteger;
 use hatchline::{Class, DestinationContract, ListedRate, Micros, RetrySafety, Settings};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds in a millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
-/// Microseconds in a second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000 * MILLISECOND;
-/// Shortest span between two moments at which events reach a forwarder.
+/// Time resolution of the simulated forwarder: the minimum interval between two batches of events.
 const TICK: Micros = MILLISECOND;
-/// Greatest span that a scenario may name, in milliseconds: a day.
-const DAY_MS: u64 = 86_400_000;
+/// Maximum duration that a scenario may set, in milliseconds: one day.
+const MAX_SPAN_MS: u64 = 86_400_000;
 
-/// A span in milliseconds, perhaps none.
-pub type Milliseconds = Bounded<0, DAY_MS>;
-/// A span in milliseconds.
-pub type PositiveMilliseconds = Bounded<1, DAY_MS>;
+/// A duration in milliseconds that may be zero.
+pub type Milliseconds = BoundedInteger<0, MAX_SPAN_MS>;
+/// A duration in milliseconds of at least one.
+pub type PositiveMilliseconds = BoundedInteger<1, MAX_SPAN_MS>;
 
-/// A class of messages.
+/// Scenario settings of a message class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSettings {
-    /// Its name in the scenario.
+    /// Name by which the scenario refers to the class.
     pub name: String,
-    /// Span in which a delivery earns the full worth.
+    /// Time from arrival within which a delivery earns the full worth.
     pub aim_ms: PositiveMilliseconds,
-    /// Span in which a message may be delivered.
+    /// Time from arrival within which a message may be delivered.
     pub deadline_ms: PositiveMilliseconds,
-    /// What a delivery is worth.
-    pub worth: Share,
-    /// Share of the worth that is left at the deadline.
-    pub late_value: Share,
-    /// What a repeat does.
-    pub effect: EffectName,
-    /// For keyed classes: how long repeats are dropped.
-    pub window_ms: Milliseconds,
+    /// Worth of a delivery within the aim.
+    pub worth: Fraction,
+    /// Fraction of the worth that remains at the deadline.
+    pub late_value: Fraction,
+    /// Effect of a retry at the destination.
+    #[serde(rename = "effect")]
+    pub retry_safety: RetrySafetySetting,
+    /// For keyed classes: how long the destination drops repeats of a key.
+    #[serde(rename = "window_ms")]
+    pub deduplication_window_ms: Milliseconds,
 }
 
-/// A number from 0 to 1.
+/// A number from 0 to 1, checked as it is read.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(try_from = "f64")]
-pub struct Share(f64);
+pub struct Fraction(f64);
 
-impl TryFrom<f64> for Share {
+impl TryFrom<f64> for Fraction {
     type Error = String;
 
     fn try_from(number: f64) -> Result<Self, String> {
         let in_range = (0.0..=1.0).contains(&number);
-        in_range.then_some(Share(number)).ok_or_else(|| format!("{number} is out of range, 0 to 1"))
+        in_range.then_some(Fraction(number)).ok_or_else(|| format!("{number} is out of range, 0 to 1"))
     }
 }
 
-/// What a repeat of a message does.
+/// Whether a message may be retried without taking effect twice, as the scenario names it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum EffectName {
-    /// May be repeated at will.
+pub enum RetrySafetySetting {
+    /// May be retried without restriction.
     Repeatable,
-    /// The destination drops repeats for a time.
+    /// The destination drops repeats of a key for the deduplication window.
     Keyed,
-    /// Must never take effect twice.
+    /// Must not take effect twice.
     Unsafe,
 }
 
-/// A deployment, as far as it differs from experiment to experiment.
+/// Parameters of a deployment that differ between experiments.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment<'a> {
-    /// Forwarders that share the destinations.
+    /// Number of forwarders that share the destinations.
     pub replicas: u64,
-    /// Calls that one forwarder may have out at once.
+    /// Maximum number of calls that one forwarder has in flight.
     pub slots: u64,
-    /// Messages that one forwarder may hold.
+    /// Maximum number of messages that one forwarder holds.
     pub max_held: u64,
-    /// Attempts for one message at most.
+    /// Maximum number of attempts per message.
     pub max_attempts: u64,
-    /// Whether the list names the rate that each destination takes.
+    /// Whether the endpoint list states the rate that each destination accepts.
     pub is_rate_listed: bool,
-    /// Classes of messages.
+    /// Message classes.
     pub classes: &'a [ClassSettings],
 }
 
 impl Deployment<'_> {
-    /// The settings in the form that the delivery policy takes. What no scenario sets is as in a usual deployment.
+    /// Returns the settings of the delivery policy. What no scenario sets has the values of a typical deployment.
     pub fn policy_settings(&self) -> Settings {
         Settings {
-            replicas: to_u32(self.replicas),
-            slots: to_u32(self.slots),
-            max_held: to_u32(self.max_held),
-            max_attempts: to_u32(self.max_attempts),
+            replicas: saturating_u32(self.replicas),
+            slots: saturating_u32(self.slots),
+            max_held: saturating_u32(self.max_held),
+            max_attempts: saturating_u32(self.max_attempts),
             may_cancel: true,
             classes: self.classes.iter().map(ClassSettings::to_policy).collect(),
-            contract: contract(),
+            contract: typical_contract(),
             batch_by_kind: vec![1],
             route_per_endpoint: vec![false],
             listed_rate: if self.is_rate_listed { ListedRate::Exact } else { ListedRate::Unknown },
@@ -111,25 +114,25 @@
             deadline: self.deadline_ms.get() * MILLISECOND,
             worth: self.worth.0,
             late_value: self.late_value.0,
-            retry_safety: self.effect.to_policy(),
-            deduplication_window: self.window_ms.get() * MILLISECOND,
+            retry_safety: self.retry_safety.to_policy(),
+            deduplication_window: self.deduplication_window_ms.get() * MILLISECOND,
             ..Class::default()
         }
     }
 }
 
-impl EffectName {
+impl RetrySafetySetting {
     fn to_policy(self) -> RetrySafety {
         match self {
-            EffectName::Repeatable => RetrySafety::Repeatable,
-            EffectName::Keyed => RetrySafety::Keyed,
-            EffectName::Unsafe => RetrySafety::Unsafe,
+            RetrySafetySetting::Repeatable => RetrySafety::Repeatable,
+            RetrySafetySetting::Keyed => RetrySafety::Keyed,
+            RetrySafetySetting::Unsafe => RetrySafety::Unsafe,
         }
     }
 }
 
-/// Contract of the usual deployment.
-fn contract() -> DestinationContract {
+/// Destination contract of a typical deployment.
+fn typical_contract() -> DestinationContract {
     DestinationContract {
         drain_grace: SECOND,
         cold_capacity_share: 0.2,
@@ -141,7 +144,7 @@
     }
 }
 
-/// A number whose range ends below the greatest of 32 bits.
-pub fn to_u32(number: u64) -> u32 {
+/// Converts a number, limited to the maximum of `u32`.
+pub fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/scale/src/fleet/observations.rs
+++ b/scale/src/fleet/observations.rs
@@ -1,51 +1,51 @@
-//! What a simulation records: the fate of each message, and the calls to each destination.
+//! What a simulation records: the state of each message, and the calls to each destination.
 
-use crate::fleet::cold_budget::CallAfterReturn;
+use crate::fleet::cold_load::CallAfterOutage;
 use hatchline::{DestinationId, Micros};
 
-/// How far a message has come.
+/// State of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
-    /// Neither delivered nor ended.
-    Underway,
+pub(super) enum MessageState {
+    /// Neither delivered nor ended by the policy.
+    Pending,
     /// Delivered at this time.
     Delivered(Micros),
-    /// Ended undelivered by its policy.
-    Ended,
+    /// Refused or failed by the policy.
+    NotDelivered,
 }
 
-/// A message, and its attempts so far.
+/// A message and its attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Message {
     pub replica: usize,
     pub destination: DestinationId,
-    pub arrived: Micros,
-    pub stage: Stage,
+    pub arrived_at: Micros,
+    pub state: MessageState,
     pub attempts: u32,
-    /// The attempt that is out.
-    pub open_attempt: Option<u32>,
+    /// Index of the attempt in flight.
+    pub attempt_in_flight: Option<u32>,
 }
 
-/// What was recorded of one destination.
+/// Calls to one destination.
 #[derive(Clone, Debug, Default)]
-pub(super) struct DestinationLog {
-    /// Calls made during the outage.
-    pub calls_while_down: u64,
-    /// Calls made since the return, in order of time.
-    pub calls_after_return: Vec<CallAfterReturn>,
+pub(super) struct DestinationCalls {
+    /// Number of calls made during the outage.
+    pub count_during_outage: u64,
+    /// Calls made after the outage, in order of time.
+    pub after_outage: Vec<CallAfterOutage>,
 }
 
-/// Answers that replicas had by the end of the steady phase.
+/// Responses that replicas received by the end of the steady phase.
 #[derive(Clone, Debug, Default)]
-pub(super) struct LearnedAnswers {
-    /// Successful answers of each pair of a replica and a destination that have met.
-    pub of_pairs_met: Vec<u32>,
+pub(super) struct LearnedResponses {
+    /// Number of successful responses of each pair of a replica and a destination that has had a message.
+    pub per_pair_with_traffic: Vec<u32>,
 }
 
-/// All that a simulation recorded.
+/// Everything that a simulation recorded.
 #[derive(Clone, Debug)]
 pub(super) struct Observations {
     pub messages: Vec<Message>,
-    pub destinations: Vec<DestinationLog>,
-    pub learned: LearnedAnswers,
+    pub destinations: Vec<DestinationCalls>,
+    pub learned: LearnedResponses,
 }
--- a/scale/src/policy/results.rs
+++ b/scale/src/policy/results.rs
@@ -1,11 +1,11 @@
-//! Results of the points: their summaries, tables and records.
+//! Results of the points: summaries, tables and records.
 
 use crate::error::ScaleError;
 use crate::policy::plan::{Point, Series};
 use crate::policy::run::RunMeasurement;
 use crate::policy::simulation::Counts;
-use crate::report::{spread_cell, table};
-use crate::statistics::{slope_over_runs, Spread, MIN_RUNS_FOR_SLOPES};
+use crate::report::{summary_cell, table};
+use crate::statistics::{slope_over_runs, SampleSummary, MIN_RUNS_FOR_SLOPES};
 use serde::Serialize;
 
 /// Name of the experiment in its records.
@@ -14,14 +14,14 @@
 const NANOS_PER_MILLI: f64 = 1e6;
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// A point and all its runs.
+/// A point and the measurements of its runs.
 #[derive(Clone, Debug)]
 pub(super) struct PointResult {
     pub point: Point,
     pub runs: Vec<RunMeasurement>,
 }
 
-/// A point that was skipped.
+/// A point that does not fit the machine.
 #[derive(Clone, Debug)]
 pub(super) struct SkippedPoint {
     pub point: Point,
@@ -46,7 +46,7 @@
         point: Point,
         reason: String,
     },
-    /// What one more of the size that grows along the series costs.
+    /// The cost of each additional unit of the size that grows along the series.
     Slope {
         series: Series,
         points: usize,
@@ -55,35 +55,35 @@
     },
 }
 
-/// Figures of a point over its runs.
+/// Summary of a point over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct PointSummary {
-    request_microseconds: Spread,
-    request_p99_microseconds: Spread,
-    requests_measured: Spread,
-    idle_maintenance_milliseconds_per_second: Spread,
-    warm_maintenance_milliseconds_per_second: Spread,
-    memory_bytes: Spread,
+    request_microseconds: SampleSummary,
+    request_p99_microseconds: SampleSummary,
+    requests_measured: SampleSummary,
+    idle_maintenance_milliseconds_per_second: SampleSummary,
+    warm_maintenance_milliseconds_per_second: SampleSummary,
+    memory_bytes: SampleSummary,
     counts: Counts,
 }
 
-/// Least-squares slopes of a series, over its runs.
+/// Least-squares slopes of a series over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Slopes {
     runs: usize,
-    request_nanoseconds: Spread,
-    idle_maintenance_nanoseconds_per_second: Spread,
-    warm_maintenance_nanoseconds_per_second: Spread,
-    memory_bytes: Spread,
+    request_nanoseconds: SampleSummary,
+    idle_maintenance_nanoseconds_per_second: SampleSummary,
+    warm_maintenance_nanoseconds_per_second: SampleSummary,
+    memory_bytes: SampleSummary,
 }
 
 impl PointResult {
-    /// A point without runs.
+    /// Creates a result without runs.
     pub fn new(point: Point) -> PointResult {
         PointResult { point, runs: Vec::new() }
     }
 
-    /// Adds a run; an error if it made other decisions than those before.
+    /// Adds a run. Fails if its counts differ from those of the first run.
     pub fn add(&mut self, run: RunMeasurement) -> Result<(), ScaleError> {
         if let Some(first) = self.runs.first().filter(|first| first.counts != run.counts) {
             let (first, other) = (format!("{:?}", first.counts), format!("{:?}", run.counts));
@@ -93,45 +93,45 @@
         Ok(())
     }
 
-    /// The figures over all runs; none if there is no run.
+    /// Summarizes all runs; `None` if there is no run.
     pub fn summary(&self) -> Option<PointSummary> {
         Some(PointSummary {
-            request_microseconds: self.spread(|run| run.request_nanos / NANOS_PER_MICRO)?,
-            request_p99_microseconds: self.spread(|run| run.request_p99_nanos / NANOS_PER_MICRO)?,
-            requests_measured: self.spread(|run| run.requests_measured as f64)?,
+            request_microseconds: self.summarize(|run| run.request_nanos / NANOS_PER_MICRO)?,
+            request_p99_microseconds: self.summarize(|run| run.request_p99_nanos / NANOS_PER_MICRO)?,
+            requests_measured: self.summarize(|run| run.requests_measured as f64)?,
             idle_maintenance_milliseconds_per_second: self
-                .spread(|run| run.idle_maintenance_nanos / NANOS_PER_MILLI)?,
+                .summarize(|run| run.idle_maintenance_nanos / NANOS_PER_MILLI)?,
             warm_maintenance_milliseconds_per_second: self
-                .spread(|run| run.warm_maintenance_nanos / NANOS_PER_MILLI)?,
-            memory_bytes: self.spread(|run| run.memory_bytes as f64)?,
+                .summarize(|run| run.warm_maintenance_nanos / NANOS_PER_MILLI)?,
+            memory_bytes: self.summarize(|run| run.memory_bytes as f64)?,
             counts: self.runs.first()?.counts,
         })
     }
 
-    /// The record of the point; none if there is no run.
+    /// Returns the record of the point; `None` if there is no run.
     pub fn record(&self) -> Option<RecordBody> {
         Some(RecordBody::Point { point: self.point, runs: self.runs.len(), summary: self.summary()? })
     }
 
-    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<Spread> {
-        Spread::of(self.runs.iter().map(figure))
+    fn summarize(&self, metric: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+        SampleSummary::from_values(self.runs.iter().map(metric))
     }
 }
 
 impl SkippedPoint {
-    /// The line of output for it.
+    /// Returns the line of output for the point.
     pub fn line(&self) -> String {
         let Point { series, listed, active, backlog } = self.point;
         format!("skipped: by {series}: {listed} listed, {active} active, {backlog} held: {}", self.reason)
     }
 
-    /// The record of the point.
+    /// Returns the record of the point.
     pub fn record(&self) -> RecordBody {
         RecordBody::Skipped { point: self.point, reason: self.reason.clone() }
     }
 }
 
-/// The table of the points of a series.
+/// Formats the table of the points of a series.
 pub(super) fn point_table(results: &[&PointResult]) -> String {
     let header = [
         "listed",
@@ -157,17 +157,17 @@
         point.active.to_string(),
         point.backlog.to_string(),
         runs.len().to_string(),
-        spread_cell(summary.request_microseconds),
-        spread_cell(summary.request_p99_microseconds),
-        spread_cell(summary.requests_measured),
-        spread_cell(summary.idle_maintenance_milliseconds_per_second),
-        spread_cell(summary.warm_maintenance_milliseconds_per_second),
-        spread_cell(summary.memory_bytes.scaled(1.0 / BYTES_PER_MEBIBYTE)),
+        summary_cell(summary.request_microseconds),
+        summary_cell(summary.request_p99_microseconds),
+        summary_cell(summary.requests_measured),
+        summary_cell(summary.idle_maintenance_milliseconds_per_second),
+        summary_cell(summary.warm_maintenance_milliseconds_per_second),
+        summary_cell(summary.memory_bytes.scaled(1.0 / BYTES_PER_MEBIBYTE)),
         summary.counts.calls.to_string(),
     ])
 }
 
-/// The slopes of a series; none where runs are too few or its points do not differ.
+/// Returns the slopes of a series; `None` if there are too few runs or the points do not differ in size.
 pub(super) fn slopes(results: &[&PointResult]) -> Option<Slopes> {
     let runs = results.iter().map(|result| result.runs.len()).min()?;
     if runs < MIN_RUNS_FOR_SLOPES {
@@ -182,26 +182,26 @@
     })
 }
 
-/// One slope for each run, through the same run of all points.
-fn slope(results: &[&PointResult], runs: usize, figure: fn(&RunMeasurement) -> f64) -> Option<Spread> {
+/// Fits one slope per run, over the same run of all points, and summarizes the slopes.
+fn slope(results: &[&PointResult], runs: usize, metric: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
     let points = |run: usize| {
-        let of_run = results.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
-        of_run.collect()
+        let run_points = results.iter().map(|result| (result.point.size() as f64, metric(&result.runs[run])));
+        run_points.collect()
     };
     slope_over_runs(runs, points)
 }
 
-/// The table of slopes.
+/// Formats the table of slopes.
 pub(super) fn slope_table(slopes: &[(Series, Slopes)]) -> String {
     let header =
         ["for each of the", "request ns", "idle maintenance ns/s", "warm maintenance ns/s", "memory bytes"];
     let rows = slopes.iter().map(|(series, slopes)| {
         vec![
             series.to_string(),
-            spread_cell(slopes.request_nanoseconds),
-            spread_cell(slopes.idle_maintenance_nanoseconds_per_second),
-            spread_cell(slopes.warm_maintenance_nanoseconds_per_second),
-            spread_cell(slopes.memory_bytes),
+            summary_cell(slopes.request_nanoseconds),
+            summary_cell(slopes.idle_maintenance_nanoseconds_per_second),
+            summary_cell(slopes.warm_maintenance_nanoseconds_per_second),
+            summary_cell(slopes.memory_bytes),
         ]
     });
     table(&header, rows)
