--- a/scale/src/instance/arguments.rs
+++ b/scale/src/instance/arguments.rs
@@ -9,24 +9,24 @@
 /// Arguments of `scale instance`.
 #[derive(Debug, Args)]
 pub struct InstanceArguments {
-    /// The forwarder's binary; `release/foldtrack` in the target directory of this tool if absent.
+    /// Forwarder binary; defaults to `release/foldtrack` in the target directory of this tool.
     #[arg(long, value_name = "PATH")]
     pub(super) binary: Option<PathBuf>,
     #[command(flatten)]
     pub(super) common: CommonArguments,
-    /// Run only these series.
+    /// Series to run; defaults to all.
     #[arg(long, value_delimiter = ',', value_enum)]
     pub(super) series: Vec<Series>,
-    /// Points of the series by destinations listed, in place of the scenario's.
+    /// Numbers of listed destinations to measure, instead of those of the scenario.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) listed: Vec<ListedCount>,
-    /// Points of the series by messages held, in place of the scenario's.
+    /// Numbers of held messages to measure, instead of those of the scenario.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) held: Vec<HeldCount>,
-    /// Points of the series by processes side by side, in place of the scenario's.
+    /// Numbers of concurrent processes to measure, instead of those of the scenario.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) processes: Vec<ProcessCount>,
-    /// Runs of each point, in place of the scenario's.
+    /// Runs of each point, instead of the scenario's number.
     #[arg(long)]
     pub(super) runs: Option<RunCount>,
 }
--- a/scale/src/instance/client.rs
+++ b/scale/src/instance/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a forwarder: messages handed in, and what operators ask.
+//! HTTP client of a forwarder: submits messages and reads metrics.
 
 use crate::instance::error::InstanceError;
 use bytes::Bytes;
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// The line of the forwarder's figures with the messages that are taken on and not yet over.
+/// Prefix of the metrics line with the number of accepted messages that have not ended.
 const HELD_FIGURE: &str = "active=";
-/// The line with the endpoints that are listed.
+/// Prefix of the metrics line with the number of listed endpoints.
 const LISTED_FIGURE: &str = "pool_size=";
 
-/// A message to be handed in.
+/// A message to submit.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub id: u64,
@@ -24,41 +24,38 @@
     pub body: Bytes,
 }
 
-/// What a forwarder said to a message.
+/// A forwarder's response to a submitted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
-    /// It was taken on.
     TakenOn,
-    /// It may be handed in again.
+    /// The client may submit the message again.
     TurnedAway,
 }
 
-/// What a forwarder tells operators.
+/// The metrics of a forwarder that the experiment uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ForwarderFigures {
     pub held: u64,
     pub listed: u64,
 }
 
-/// A connection to a forwarder. It closes when this is dropped.
+/// A connection to a forwarder. Dropping it closes it.
 #[derive(Debug)]
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
 }
 
 impl Connection {
-    /// Connects to a forwarder.
     pub async fn open(address: SocketAddr) -> Result<Connection, InstanceError> {
         let connect = InstanceError::at("connecting to a forwarder");
         let stream = TcpStream::connect(address).await.map_err(&connect)?;
         stream.set_nodelay(true).map_err(&connect)?;
         let (sender, driver) = http1::handshake(TokioIo::new(stream)).await?;
-        // Errors reach the call that is out.
+        // A connection error surfaces in the request in flight.
         tokio::spawn(async move { drop(driver.await) });
         Ok(Connection { sender })
     }
 
-    /// Hands a message in.
     pub async fn hand_in(&mut self, message: &Message) -> Result<Answer, InstanceError> {
         let request = Request::post(format!("/{}", message.class))
             .header("Host", "backend.local")
@@ -83,12 +80,12 @@
     }
 }
 
-/// Whether a forwarder accepts clients.
+/// Whether a forwarder passes its health check.
 pub(super) async fn is_ready(listen: SocketAddr) -> bool {
     matches!(get(listen, "/healthz").await, Ok((StatusCode::OK, _)))
 }
 
-/// What a forwarder tells operators now.
+/// Reads a forwarder's metrics from its admin server.
 pub(super) async fn figures(admin: SocketAddr) -> Result<ForwarderFigures, InstanceError> {
     match get(admin, "/-/metrics").await? {
         (StatusCode::OK, body) => {
--- a/scale/src/instance/configuration.rs
+++ b/scale/src/instance/configuration.rs
@@ -4,30 +4,30 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Name of the zone, the kind and the classes of the deployment.
+/// The only zone of the deployment.
 pub(super) const ZONE: &str = "zone-a";
+/// The only kind of destination.
 pub(super) const KIND: &str = "kind-a";
-/// Class of the requests that are measured.
+/// Class of the requests whose CPU cost is measured.
 pub(super) const REQUEST_CLASS: &str = "interactive";
-/// Class of the messages that are held.
+/// Class of the messages that the forwarder holds.
 pub(super) const HELD_CLASS: &str = "bulk";
-/// Deadlines of the classes, in milliseconds.
 pub(super) const REQUEST_DEADLINE_MS: u64 = 20_000;
 pub(super) const HELD_DEADLINE_MS: u64 = 7_200_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 const MEMORY_MB: u64 = 2_048;
 
-/// Addresses of a forwarder and of what it talks to.
+/// Addresses of a forwarder and of the discovery service that it uses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Addresses {
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// Address of the admin server.
     pub admin: SocketAddr,
     pub discovery: SocketAddr,
 }
 
-/// The whole file. Fields are named as the forwarder reads them.
+/// The configuration file. The forwarder reads its fields by these names.
 #[derive(Debug, Serialize)]
 pub(super) struct Configuration {
     name: String,
@@ -39,6 +39,7 @@
     settings: Settings,
 }
 
+/// Resources that the forwarder may use.
 #[derive(Debug, Serialize)]
 struct MachineLimits {
     cores: f64,
@@ -47,6 +48,7 @@
     disk_mb: u64,
 }
 
+/// Delivery settings, the same for all forwarders of the deployment.
 #[derive(Debug, Serialize)]
 struct Settings {
     balancers: u64,
@@ -61,6 +63,7 @@
     weight_source: &'static str,
 }
 
+/// A class of messages.
 #[derive(Debug, Serialize)]
 struct Category {
     name: &'static str,
@@ -71,6 +74,7 @@
     effect: &'static str,
 }
 
+/// What the destinations and discovery are promised.
 #[derive(Debug, Serialize)]
 struct Contract {
     ask_within: u64,
@@ -82,6 +86,7 @@
     tip_multiple: f64,
 }
 
+/// Settings of the destinations by kind and zone.
 #[derive(Debug, Serialize)]
 struct FamilyInfo {
     batch_by_kind: [u32; 1],
@@ -90,6 +95,7 @@
     zone_fee: [f64; 1],
 }
 
+/// Limits on connections, attempts and accepted messages.
 #[derive(Debug, Serialize)]
 struct DeliveryLimits {
     conn_idle: u64,
@@ -101,7 +107,7 @@
 }
 
 impl Configuration {
-    /// That of one of the forwarders of a point.
+    /// The configuration of the forwarder with this index at a point.
     pub fn new(plan: &Plan, point: &Point, index: u64, addresses: Addresses) -> Configuration {
         Configuration {
             name: format!("n{index}"),
@@ -120,7 +126,7 @@
     }
 }
 
-/// Settings of a usual deployment, with the scenario's figures. Spans are in microseconds.
+/// The settings of a typical deployment, with the scenario's limits. Durations are in microseconds.
 fn settings(plan: &Plan, point: &Point) -> Settings {
     let request = Category {
         name: REQUEST_CLASS,
--- a/scale/src/instance/destination_server.rs
+++ b/scale/src/instance/destination_server.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for destinations: one that delivers what it gets, and one that asks for a pause.
+//! Simulated destinations: one that delivers what it gets, and one that rejects it and requests a long wait.
 
 use crate::instance::http_server::Handler;
 use bytes::Bytes;
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The header that asks for a pause, and for how long: longer than a run, in milliseconds.
+/// Header that requests a wait before the next attempt, and its value: longer than a run, in milliseconds.
 const PAUSE_HEADER: &str = "X-Come-Back-Ms";
 const PAUSE_MS: &str = "3600000";
 
-/// What a destination does with messages.
+/// How a simulated destination responds.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Behavior {
-    /// Delivers each after this span.
+    /// Delivers each message after this service time.
     Deliver(Duration),
-    /// Turns each away and asks for a pause.
+    /// Rejects each message and requests a long wait.
     Pause,
 }
 
-/// The stand-in for all destinations of one behavior.
+/// HTTP handler for all destinations of one behavior.
 #[derive(Debug)]
 pub(super) struct DestinationServer {
     behavior: Behavior,
@@ -29,12 +29,11 @@
 }
 
 impl DestinationServer {
-    /// One of this behavior.
     pub fn new(behavior: Behavior) -> DestinationServer {
         DestinationServer { behavior, answered: AtomicU64::new(0) }
     }
 
-    /// Messages answered so far.
+    /// Number of responses so far.
     pub fn answered(&self) -> u64 {
         self.answered.load(Ordering::Relaxed)
     }
--- a/scale/src/instance/discovery_server.rs
+++ b/scale/src/instance/discovery_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: serves one list that never changes.
+//! Simulated discovery service with a list that never changes.
 
 use crate::instance::configuration::{KIND, ZONE};
 use crate::instance::http_server::Handler;
@@ -11,12 +11,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Version of the list.
 const VERSION: u64 = 1;
-/// How long a watch lasts that names no span.
+/// How long a watch waits if its request has no timeout.
 const DEFAULT_WATCH: Duration = Duration::from_secs(1);
 
-/// A list in discovery's form.
+/// An endpoint list as discovery serves it.
 #[derive(Debug, Serialize)]
 struct ServerList {
     version: u64,
@@ -24,7 +23,7 @@
     servers: Vec<ServerLine>,
 }
 
-/// One endpoint of the list: the only one of its destination.
+/// One endpoint of the list, the only one of its destination.
 #[derive(Debug, Serialize)]
 struct ServerLine {
     id: String,
@@ -37,20 +36,20 @@
     started_ms: u64,
 }
 
-/// The destinations of a list, numbered from 0: the last ones pause what is sent to them.
+/// The listed destinations, numbered from 0. The last `rejecting` of them reject all messages.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Destinations {
     pub listed: u64,
     pub paused: u64,
-    /// Where those that serve are reached, and those that pause.
+    /// Address of the destinations that deliver, and of those that reject.
     pub serving_address: SocketAddr,
     pub paused_address: SocketAddr,
-    /// Limit in the list, in calls a second of each destination.
+    /// Listed rate limit of each destination, in calls per second.
     pub rate: u64,
 }
 
 impl Destinations {
-    /// Number of the first that pauses.
+    /// Number of the first destination that rejects.
     pub fn first_paused(&self) -> u64 {
         self.listed.saturating_sub(self.paused)
     }
@@ -70,7 +69,7 @@
     }
 }
 
-/// The stand-in.
+/// HTTP handler of the simulated discovery service.
 #[derive(Debug)]
 pub(super) struct DiscoveryServer {
     whole_list: Bytes,
@@ -79,7 +78,7 @@
 }
 
 impl DiscoveryServer {
-    /// One that lists these destinations.
+    /// A service that lists these destinations.
     pub fn new(destinations: &Destinations) -> serde_json::Result<DiscoveryServer> {
         let servers = (0..destinations.listed).map(|number| destinations.line(number)).collect();
         let whole_list = ServerList { version: VERSION, full: true, servers };
@@ -91,12 +90,12 @@
         })
     }
 
-    /// Bytes of the whole list.
+    /// Size of the full list.
     pub fn list_bytes(&self) -> usize {
         self.whole_list.len()
     }
 
-    /// How often the whole list has been asked for.
+    /// Number of requests for the full list so far.
     pub fn whole_list_requests(&self) -> u64 {
         self.whole_list_requests.load(Ordering::Relaxed)
     }
@@ -105,7 +104,7 @@
 impl Handler for DiscoveryServer {
     async fn answer(&self, request: Request<Bytes>) -> Response<Full<Bytes>> {
         if request.method() == Method::POST {
-            // A notice that a message has ended undelivered.
+            // A report of a message that was not delivered.
             return status(StatusCode::NO_CONTENT);
         }
         let query = request.uri().query().unwrap_or_default();
@@ -118,7 +117,7 @@
     }
 }
 
-/// How long a watch asks to wait for news.
+/// How long a watch request wants to wait for a change.
 fn watch_span(query: &str) -> Duration {
     let named = query.split('&').find_map(|pair| pair.strip_prefix("timeout_ms="));
     named.and_then(|number| number.parse().ok()).map_or(DEFAULT_WATCH, Duration::from_millis)
--- a/scale/src/instance/error.rs
+++ b/scale/src/instance/error.rs
@@ -6,56 +6,56 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a run with forwarder processes failed. Each is displayed on one line.
+/// Why a run with forwarder processes failed. Each error is displayed on one line.
 #[derive(Debug, Error)]
 pub enum InstanceError {
-    /// The forwarder cannot be started, or a stand-in cannot listen.
+    /// An operating system call failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// What was being done.
         what: &'static str,
-        /// The error of the system.
+        /// The system's error.
         source: io::Error,
     },
-    /// A forwarder ended by itself.
+    /// A forwarder exited without being told to.
     #[error("a forwarder ended with {status}: {log}")]
     Ended {
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
-        /// The last line of its log.
+        /// The last line that it logged.
         log: String,
     },
-    /// Something did not happen in time.
+    /// A condition was not met in time.
     #[error("not within {patience:?}: {what}")]
     TimedOut {
-        /// What was waited for.
+        /// The condition.
         what: String,
-        /// How long.
+        /// How long the run waited for it.
         patience: Duration,
     },
-    /// A call to a forwarder failed.
+    /// A request to a forwarder failed.
     #[error("a call to a forwarder failed: {0}")]
     Call(#[from] hyper::Error),
-    /// A request was answered otherwise than by the protocol.
+    /// A forwarder responded with a status that the protocol does not allow.
     #[error("a forwarder answered {0}")]
     UnexpectedStatus(hyper::StatusCode),
-    /// The forwarders turned requests away again and again.
+    /// A forwarder kept refusing requests.
     #[error("{taken_on} of {total} requests were taken on")]
     RequestsNotTaken {
-        /// Requests that were taken on.
+        /// Requests that the forwarders accepted.
         taken_on: u64,
-        /// All requests of the batch.
+        /// All requests of the run.
         total: u64,
     },
-    /// A forwarder does not hold what it took on.
+    /// A forwarder did not restore all messages that it had accepted.
     #[error("a forwarder holds {found} messages after its restart in place of {wanted}")]
     NotHeld {
-        /// Messages that it took on.
+        /// Messages accepted before the restart.
         wanted: u64,
-        /// Messages that it has.
+        /// Messages held after the restart.
         found: u64,
     },
-    /// A figure of a process cannot be read.
+    /// The statistics of a process cannot be read.
     #[error("a figure of a process cannot be read: {0}")]
     Figure(#[from] ProcError),
     /// A task of this process panicked.
@@ -64,7 +64,7 @@
 }
 
 impl InstanceError {
-    /// For `map_err`: an error of the system at something that was tried.
+    /// For `map_err`: converts a system error that occurred during `operation`.
     pub(super) fn at(what: &'static str) -> impl Fn(io::Error) -> InstanceError {
         move |source| InstanceError::System { what, source }
     }
--- a/scale/src/instance/experiment.rs
+++ b/scale/src/instance/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment: runs the points, prints the tables and writes the records.
+//! Runs the points, prints the tables and writes the records.
 
 use crate::error::ScaleError;
 use crate::instance::arguments::InstanceArguments;
@@ -15,7 +15,7 @@
 use indicatif::ProgressBar;
 use std::io::{self, Write};
 
-/// Runs the experiment from its arguments to its results.
+/// Runs the experiment, from its arguments to its results.
 pub(super) fn run(arguments: &InstanceArguments) -> Result<(), ScaleError> {
     let plan = Plan::load(arguments)?;
     let records = arguments.common.json.as_deref().map(RecordFile::create).transpose()?;
@@ -53,8 +53,8 @@
     finished
 }
 
-/// Makes all runs of a series. The points take turns, so that a change in the load of the machine affects all of them
-/// and shows in the spread.
+/// Makes all runs of a series. The points alternate, so that a change in the load of the machine affects all of them
+/// and shows in the variation between runs.
 fn run_series(
     plan: &Plan, series: &mut [PointResult], interrupt: &Interrupt, progress: &ProgressBar,
 ) -> Result<(), ScaleError> {
@@ -91,7 +91,7 @@
 }
 
 impl<'a> SeriesResults<'a> {
-    /// All series.
+    /// Groups the results by series.
     fn collect(results: &'a [PointResult]) -> Vec<SeriesResults<'a>> {
         let by_series = results.chunk_by(|one, next| one.point.series == next.point.series);
         let collected = by_series.map(|results| {
--- a/scale/src/instance/forwarder.rs
+++ b/scale/src/instance/forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarder's process, with the folder that outlasts it.
+//! A forwarder process and its directory, which outlives the process.
 
 use crate::instance::client;
 use crate::instance::configuration::{Addresses, Configuration};
@@ -13,21 +13,21 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Span between two looks at whether something has happened.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Addresses of forwarders are 127.FIRST_NETWORK.0.1 and up, with a part of the networks for each process of this tool.
+/// Forwarders listen on 127.FIRST_NETWORK.0.1 and up. Each process of this tool uses one of `NETWORKS` networks.
 const FIRST_NETWORK: u32 = 64;
 const NETWORKS: u32 = 128;
 const HOSTS_IN_NETWORK: u32 = 250 * 250;
 
-/// The folder of a forwarder, and its addresses, which it keeps over restarts.
+/// A forwarder's directory, and its addresses, which it keeps across restarts.
 #[derive(Debug)]
 pub(super) struct ForwarderFolder {
     path: PathBuf,
     addresses: Addresses,
 }
 
-/// A running process. It is killed when this is dropped.
+/// A running forwarder process. Dropping it kills the process.
 #[derive(Debug)]
 pub(super) struct Forwarder {
     child: Child,
@@ -37,7 +37,7 @@
 }
 
 impl ForwarderFolder {
-    /// Makes the folder, with a configuration for the addresses that are chosen here.
+    /// Chooses the addresses and creates the directory with a configuration for them.
     pub fn create(
         path: PathBuf, discovery: SocketAddr, configuration: impl FnOnce(Addresses) -> Configuration,
     ) -> Result<ForwarderFolder, InstanceError> {
@@ -55,7 +55,7 @@
         fs::write(self.configuration(), serde_json::to_vec(configuration)?)
     }
 
-    /// Starts a process on the folder.
+    /// Starts a process with this directory.
     pub fn start(&self, binary: &Path) -> Result<Forwarder, InstanceError> {
         let log = self.path.join("log");
         let log_file = File::create(&log).map_err(InstanceError::at("creating a forwarder's log"))?;
@@ -89,12 +89,11 @@
 }
 
 impl Forwarder {
-    /// Number of the process.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until clients are accepted; gives the time since the start.
+    /// Waits until the forwarder accepts clients, and returns the time since its start.
     pub async fn wait_until_ready(&mut self, patience: Duration) -> Result<Duration, InstanceError> {
         let listen = self.addresses.listen;
         if self.wait_until(patience, || client::is_ready(listen)).await? {
@@ -103,7 +102,7 @@
         Err(InstanceError::TimedOut { what: "a forwarder accepts clients".to_owned(), patience })
     }
 
-    /// Waits until a condition holds; gives whether it does in time. An error if the process ends.
+    /// Waits until a condition is met, and returns whether it was met in time. Fails if the process exits.
     pub async fn wait_until<F: Future<Output = bool>>(
         &mut self, patience: Duration, holds: impl Fn() -> F,
     ) -> Result<bool, InstanceError> {
@@ -134,14 +133,14 @@
 
 impl Drop for Forwarder {
     fn drop(&mut self) {
-        // Both fail only where it has ended by itself.
+        // Both fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// An address with a host number of its own and a port that the system chooses: connections from other loopback
-/// addresses do not take the port before the forwarder listens on it.
+/// Chooses an address with an unused host number and a free port. No outgoing connection of another process can take
+/// the port before the forwarder listens on it, because those connections use other loopback addresses.
 fn own_address() -> io::Result<SocketAddr> {
     static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed) % HOSTS_IN_NETWORK;
--- a/scale/src/instance/http_server.rs
+++ b/scale/src/instance/http_server.rs
@@ -16,16 +16,16 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep;
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next connection is accepted after an error.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a server answers.
+/// Responds to the requests of an HTTP server.
 pub(super) trait Handler: Send + Sync + 'static {
-    /// Answers a request, whose body has come whole.
+    /// Responds to a request whose body has been read completely.
     fn answer(&self, request: Request<Bytes>) -> impl Future<Output = Response<Full<Bytes>>> + Send;
 }
 
-/// A running server. It ends, with its connections, when this is dropped.
+/// A running server. Dropping it closes it and its connections.
 #[derive(Debug)]
 pub(super) struct HttpServer {
     pub address: SocketAddr,
@@ -33,7 +33,6 @@
 }
 
 impl HttpServer {
-    /// Starts a server.
     pub async fn start(handler: Arc<impl Handler>) -> io::Result<HttpServer> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -62,7 +61,7 @@
 }
 
 async fn serve(stream: TcpStream, handler: Arc<impl Handler>) {
-    // Without this an answer may wait for an acknowledgement; the connection serves all the same.
+    // Otherwise a response could be delayed until the client acknowledges the previous one. Failure is harmless.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request: Request<Incoming>| {
         let handler = &handler;
@@ -72,6 +71,6 @@
             Ok::<_, hyper::Error>(handler.answer(Request::from_parts(head, body)).await)
         }
     });
-    // An error ends the connection, which the forwarder notices.
+    // An error closes the connection, which the forwarder notices.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
--- a/scale/src/instance/load.rs
+++ b/scale/src/instance/load.rs
@@ -1,4 +1,4 @@
-//! Messages handed in to a forwarder, over some connections at once.
+//! Submits batches of messages to a forwarder over concurrent connections.
 
 use crate::instance::client::{Answer, Connection, Message};
 use crate::instance::error::InstanceError;
@@ -11,12 +11,12 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Pause before a message that was turned away is handed in again.
+/// Delay before a refused message is submitted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// A message that has been turned away so often is not handed in again.
+/// Refusals of one message after which it is no longer submitted.
 const MAX_TURNED_AWAY: u32 = 100;
 
-/// Messages of one class, for some destinations in turn.
+/// Messages of one class, spread round-robin over a range of destinations.
 #[derive(Clone, Debug)]
 pub(super) struct Batch {
     pub class: &'static str,
@@ -27,7 +27,7 @@
     pub body: Bytes,
 }
 
-/// What is common to the connections over which a batch is handed in.
+/// State shared by the connections over which a batch is submitted.
 #[derive(Debug)]
 struct Progress {
     batch: Batch,
@@ -36,8 +36,8 @@
     next_id: Arc<AtomicU64>,
 }
 
-/// Hands a batch in; gives how many messages were taken on, which is fewer than all if the forwarder turned some away to
-/// the end.
+/// Submits a batch and returns the number of accepted messages. It is less than the size of the batch if the forwarder
+/// keeps refusing.
 pub(super) async fn hand_in(
     listen: SocketAddr, batch: Batch, next_id: Arc<AtomicU64>,
 ) -> Result<u64, InstanceError> {
@@ -62,7 +62,7 @@
             return Ok(());
         }
         if !hand_in_until_taken(&mut connection, &progress, number).await? {
-            // The others are turned away as well.
+            // The forwarder is likely to refuse the remaining messages as well.
             progress.begun.store(progress.batch.count, Ordering::Relaxed);
             return Ok(());
         }
@@ -70,12 +70,12 @@
     }
 }
 
-/// Hands one message in until it is taken on; gives whether it was.
+/// Submits one message until it is accepted, and returns whether it was.
 async fn hand_in_until_taken(
     connection: &mut Connection, progress: &Progress, number: u64,
 ) -> Result<bool, InstanceError> {
     for _ in 0..MAX_TURNED_AWAY {
-        // A new one each time that it is handed in.
+        // Each submission of a message has a new id.
         let id = progress.next_id.fetch_add(1, Ordering::Relaxed);
         if connection.hand_in(&progress.batch.message(id, number)).await? == Answer::TakenOn {
             return Ok(true);
--- a/scale/src/instance/mod.rs
+++ b/scale/src/instance/mod.rs
@@ -1,8 +1,8 @@
-//! `scale instance`: memory, time until ready and processor time of forwarder processes, by destinations listed, messages
-//! held and processes side by side.
+//! `scale instance`: memory, startup time and CPU time of forwarder processes, by listed destinations, held messages
+//! and concurrent processes.
 //!
-//! The forwarders are real processes on the real clock. Discovery, destinations and clients are stand-ins within this
-//! process, on loopback, with ports that the system chooses.
+//! The forwarders are real processes on the real clock. This process simulates discovery, destinations and clients on
+//! loopback, with ports that the system chooses.
 
 mod arguments;
 mod client;
@@ -24,7 +24,7 @@
 
 use crate::error::ScaleError;
 
-/// Runs the whole experiment.
+/// Runs the experiment.
 pub fn run(arguments: &InstanceArguments) -> Result<(), ScaleError> {
     experiment::run(arguments)
 }
--- a/scale/src/instance/plan.rs
+++ b/scale/src/instance/plan.rs
@@ -9,21 +9,21 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The built-in scenario, and the file name in its errors.
+/// The built-in scenario, and its file name in error messages.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/instance.toml");
 const BUILT_IN_NAME: &str = "scale/scenarios/instance.toml";
-/// Where the forwarder's binary is by default, from the target directory.
+/// Default path of the forwarder binary, relative to the target directory.
 const DEFAULT_BINARY: &str = "release/foldtrack";
 
-/// What grows from point to point.
+/// The size that varies between the points of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Series {
-    /// Destinations listed.
+    /// Listed destinations.
     Listed,
-    /// Messages held in the log.
+    /// Messages held in the write-ahead log.
     Held,
-    /// Processes side by side.
+    /// Concurrent forwarder processes.
     Processes,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// The deployment that a point stands for.
+/// One size of deployment to measure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Point {
     pub series: Series,
@@ -50,7 +50,7 @@
 }
 
 impl Point {
-    /// The size that grows along the series.
+    /// The size that varies in this point's series.
     pub fn size(&self) -> u64 {
         match self.series {
             Series::Listed => self.listed,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The whole experiment.
+/// Everything that the experiment runs.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub scenario_name: String,
@@ -70,12 +70,12 @@
     pub seed: u64,
     pub forwarder: ForwarderSettings,
     pub workload: Workload,
-    /// Destinations that the held messages are for.
+    /// Number of destinations of the held messages.
     pub paused: u64,
 }
 
 impl Plan {
-    /// The plan that the scenario and the arguments give.
+    /// Combines the scenario and the arguments.
     pub fn load(arguments: &InstanceArguments) -> Result<Plan, ScaleError> {
         let file =
             ScenarioFile::load(arguments.common.scenario.as_deref(), BUILT_IN_NAME, BUILT_IN_SCENARIO)?;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Destinations with held messages are none of the active ones.
+/// Checks that held messages and requests can have separate destinations.
 fn check_held_series(file: &ScenarioFile, scenario: &InstanceScenario) -> Result<(), ScaleError> {
     let series = &scenario.held;
     let listed = series.listed.get_ref().get();
@@ -135,7 +135,7 @@
     by_listed.chain(by_held).chain(by_processes).collect()
 }
 
-/// The points of the argument, or else those of the scenario.
+/// The argument's points if there are any, or else those of the scenario.
 fn chosen<'a, T>(argument: &'a [T], in_scenario: &'a [T]) -> &'a [T] {
     if argument.is_empty() {
         in_scenario
@@ -144,7 +144,7 @@
     }
 }
 
-/// The forwarder's binary, which has to exist.
+/// Path of the forwarder binary, which must exist.
 fn binary(argument: Option<&Path>) -> Result<PathBuf, ScaleError> {
     let path = match argument {
         Some(path) => path.to_owned(),
@@ -154,11 +154,11 @@
         argument: "--binary",
         reason: format!("{}: {error}; `cargo build --release` at the root builds it", path.display()),
     };
-    // Absolute: the forwarder is started in another folder.
+    // Absolute, because the forwarder is started in another directory.
     path.canonicalize().map_err(missing)
 }
 
-/// Beside the directory of this tool's own binary, which is that of a profile in the target directory.
+/// In the target directory, which has a directory for each profile; this tool's binary is in one of them.
 fn default_binary() -> Result<PathBuf, ScaleError> {
     let own_binary = std::env::current_exe()?;
     let target_directory = own_binary.ancestors().nth(2).unwrap_or(Path::new("."));
--- a/scale/src/instance/results.rs
+++ b/scale/src/instance/results.rs
@@ -1,4 +1,4 @@
-//! Results of the points: their summaries, tables and records.
+//! Results of the points: summaries, tables and records.
 
 use crate::instance::plan::{Point, Series};
 use crate::instance::run::RunMeasurement;
@@ -15,7 +15,7 @@
 const NANOS_PER_MICRO: f64 = 1e3;
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// A point, its runs, and why the forwarder does not take it, if so.
+/// A point with its runs, and the reason if the forwarder does not support a deployment of that size.
 #[derive(Clone, Debug)]
 pub(super) struct PointResult {
     pub point: Point,
@@ -23,7 +23,7 @@
     pub not_taken: Option<String>,
 }
 
-/// A record, with the binary that it is about.
+/// A record, with the binary that was measured.
 #[derive(Debug, Serialize)]
 pub(super) struct InstanceRecord<'a> {
     pub forwarder: &'a Path,
@@ -35,7 +35,6 @@
 #[derive(Debug, Serialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub(super) enum RecordBody {
-    /// A point that was measured.
     Point {
         #[serde(flatten)]
         point: Point,
@@ -43,13 +42,13 @@
         #[serde(flatten)]
         summary: PointSummary,
     },
-    /// A point that the forwarder does not take.
+    /// A point that the forwarder does not support.
     NotTaken {
         #[serde(flatten)]
         point: Point,
         reason: String,
     },
-    /// What one more of the size that grows along the series costs.
+    /// Cost of one more destination, message or process.
     Slope {
         series: Series,
         points: usize,
@@ -58,7 +57,7 @@
     },
 }
 
-/// Figures of a point over its runs.
+/// Measurements of a point, summarized over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct PointSummary {
     ready_milliseconds: SampleSummary,
@@ -68,7 +67,7 @@
     request_microseconds: SampleSummary,
 }
 
-/// Least-squares slopes of a series, over its runs.
+/// Least-squares slopes of a series, summarized over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Slopes {
     runs: usize,
@@ -80,19 +79,18 @@
 }
 
 impl PointResult {
-    /// A point without runs.
     pub fn new(point: Point) -> PointResult {
         PointResult { point, runs: Vec::new(), not_taken: None }
     }
 
-    /// The line of output for a point that the forwarder does not take.
+    /// The output line of a point that the forwarder does not support.
     pub fn not_taken_line(&self) -> Option<String> {
         let Point { series, listed, held, processes, .. } = self.point;
         let reason = self.not_taken.as_deref()?;
         Some(format!("not taken: by {series}: {listed} listed, {held} held, {processes} processes: {reason}"))
     }
 
-    /// The record of the point; none if there is no run.
+    /// The record of the point, or `None` if there is no run.
     pub fn record(&self) -> Option<RecordBody> {
         let point = self.point;
         if let Some(reason) = self.not_taken.clone() {
@@ -116,7 +114,7 @@
     }
 }
 
-/// The table of the points of a series; none if none was measured.
+/// The table of the points of a series, or `None` if none was measured.
 pub(super) fn point_table(results: &[&PointResult]) -> Option<String> {
     let header = [
         "listed",
@@ -151,7 +149,7 @@
     ])
 }
 
-/// The slopes of a series, over the points that were taken; none where runs are too few or its points do not differ.
+/// The slopes of a series over its supported points, or `None` if there are too few runs or all sizes are equal.
 pub(super) fn slopes(results: &[&PointResult]) -> Option<Slopes> {
     let taken: Vec<_> = results.iter().copied().filter(|result| result.not_taken.is_none()).collect();
     let runs = taken.iter().map(|result| result.runs.len()).min()?;
@@ -175,7 +173,6 @@
     })
 }
 
-/// The table of slopes.
 pub(super) fn slope_table(slopes: &[(Series, Slopes)]) -> String {
     let header = ["for each of the", "ready us", "list us", "resident bytes", "idle ns/s", "request ns"];
     let rows = slopes.iter().map(|(series, slopes)| {
--- a/scale/src/instance/run.rs
+++ b/scale/src/instance/run.rs
@@ -1,4 +1,4 @@
-//! One run of a point: forwarders are started among stand-ins and measured.
+//! One run of a point: starts forwarders with simulated servers and measures them.
 
 use crate::instance::client::{self, ForwarderFigures};
 use crate::instance::configuration::{
@@ -24,27 +24,27 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A list that has been asked for so often for each forwarder is not taken.
+/// Requests for the full list, per forwarder, after which the list counts as not supported.
 const MAX_LIST_REQUESTS: u64 = 20;
-/// Span between two looks at whether something has happened.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Span between two looks at whether the user has interrupted.
+/// Interval between two checks for an interrupt.
 const INTERRUPT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// After the last delivery: the forwarder still reads its answer and writes its log.
+/// The forwarder reads the last response and writes its log within this delay.
 const AFTER_DELIVERY: Duration = Duration::from_millis(50);
 
 /// What one run measured.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunMeasurement {
-    /// From the start until clients are accepted, of the slowest process.
+    /// Time from start until clients are accepted, of the slowest process.
     pub ready: Duration,
-    /// From the start until all destinations are listed, of the slowest process.
+    /// Time from start until all destinations are listed, of the slowest process.
     pub listed: Duration,
-    /// Resident memory of a process after the idle span, the mean of all.
+    /// Resident memory after the idle period, the mean over the processes.
     pub resident_bytes: f64,
-    /// Processor time of a process in a second without requests, the mean of all.
+    /// CPU time per second without requests, the mean over the processes.
     pub idle_nanos: f64,
-    /// Processor time of a request, the mean of all.
+    /// CPU time of a request, the mean over all requests.
     pub request_nanos: f64,
 }
 
@@ -52,18 +52,18 @@
 #[derive(Debug)]
 pub(super) enum RunOutcome {
     Measured(RunMeasurement),
-    /// The forwarder does not take a deployment of this size, for this reason.
+    /// The forwarder does not support a deployment of this size, for this reason.
     NotTaken(String),
     Interrupted,
 }
 
-/// How a step ended that the forwarder may not take.
+/// Result of a step that the forwarder may not support at this size.
 enum Step<T> {
     Done(T),
     NotTaken(String),
 }
 
-/// Makes a run. No process outlasts it.
+/// Makes a run. All its processes have ended when it returns.
 pub(super) fn measure(
     plan: &Plan, point: &Point, interrupt: &Interrupt,
 ) -> Result<RunOutcome, InstanceError> {
@@ -75,7 +75,7 @@
             () = interrupted(interrupt) => Ok(RunOutcome::Interrupted),
         }
     });
-    // The forwarders get the interrupts of the terminal too, and may have ended by one.
+    // An interrupt from the terminal also reaches the forwarders, so a failed run may be its result.
     if interrupt.is_received() {
         return Ok(RunOutcome::Interrupted);
     }
@@ -108,14 +108,14 @@
     Ok(RunOutcome::Measured(RunMeasurement { ready, listed, resident_bytes, idle_nanos, request_nanos }))
 }
 
-/// Forwarders that accept clients and have the whole list, and how long the slowest took.
+/// Forwarders that accept clients and have the full list, and the times of the slowest.
 struct Started {
     forwarders: Vec<Forwarder>,
     ready: Duration,
     listed: Duration,
 }
 
-/// A stand-in and the server it answers on.
+/// An HTTP server with its handler.
 struct StandIn<H> {
     handler: Arc<H>,
     server: HttpServer,
@@ -130,7 +130,7 @@
     }
 }
 
-/// All that stands around the forwarders of a run.
+/// The forwarders' environment in a run: simulated servers and directories.
 struct Deployment<'a> {
     plan: &'a Plan,
     point: &'a Point,
@@ -161,7 +161,7 @@
         Ok(Deployment { plan, point, folder, destinations, discovery, serving, paused, next_id })
     }
 
-    /// A folder for each forwarder.
+    /// Creates a directory for each forwarder.
     fn folders(&self) -> Result<Vec<ForwarderFolder>, InstanceError> {
         let folder = |index: u64| {
             let path = self.folder.path().join(format!("n{index}"));
@@ -175,7 +175,7 @@
         milliseconds(self.plan.workload.patience_ms)
     }
 
-    /// Starts all forwarders at once and waits for the last.
+    /// Starts all forwarders concurrently and waits for all of them.
     async fn start_all(&self, folders: &[ForwarderFolder]) -> Result<Step<Started>, InstanceError> {
         let mut starting = JoinSet::new();
         for folder in folders {
@@ -197,7 +197,7 @@
         Ok(Step::Done(started))
     }
 
-    /// Fills the log of a forwarder with messages for destinations that have asked for a pause, and kills its process.
+    /// Fills a forwarder's write-ahead log with messages for the rejecting destinations, then kills the process.
     async fn fill_log(&self, folder: &ForwarderFolder) -> Result<Step<()>, InstanceError> {
         let started = match self.start_all(std::slice::from_ref(folder)).await? {
             Step::Done(started) => started,
@@ -205,7 +205,7 @@
         };
         let listen = started.forwarders[0].addresses.listen;
         let wanted = self.point.held;
-        // The first message for each destination learns of the pause; all others wait for its end.
+        // The first message to each destination is rejected with a wait. All later ones are held without an attempt.
         let first = self.plan.paused.min(wanted);
         let mut taken_on = self.hand_in_held(listen, first).await?;
         if taken_on == first {
@@ -234,7 +234,7 @@
         load::hand_in(listen, batch, self.next_id.clone()).await
     }
 
-    /// Checks that the forwarders hold the messages of the point.
+    /// Checks that the forwarder holds the messages of the point.
     async fn check_held(&self, forwarders: &[Forwarder]) -> Result<(), InstanceError> {
         if self.point.series != Series::Held {
             return Ok(());
@@ -247,7 +247,7 @@
         Ok(())
     }
 
-    /// Processor time of a request, the mean over a batch for each forwarder, all delivered.
+    /// CPU time per request: the mean over a batch for each forwarder, until all requests are delivered.
     async fn requests(&self, forwarders: &[Forwarder]) -> Result<f64, InstanceError> {
         let active = self.plan.workload.active.get().min(self.point.listed);
         let total = self.point.requests * self.point.processes;
@@ -295,7 +295,7 @@
     }
 }
 
-/// A forwarder that has started, and how long it took.
+/// A forwarder that has started, and its startup times.
 struct StartedOne {
     forwarder: Forwarder,
     ready: Duration,
@@ -310,22 +310,22 @@
     }
 }
 
-/// The list that a forwarder has to take in.
+/// The list that a forwarder must load.
 struct ExpectedList {
     discovery: Arc<DiscoveryServer>,
-    /// Destinations in it.
+    /// Number of destinations in the list.
     length: u64,
-    /// Requests for the whole list, by all forwarders, after which it is not taken.
+    /// Requests for the full list, by all forwarders, after which it counts as not supported.
     max_requests: u64,
 }
 
-/// Waits until a forwarder accepts clients and has the list.
+/// Waits until a forwarder accepts clients and has loaded the list.
 async fn wait_until_listed(
     mut forwarder: Forwarder, list: ExpectedList, patience: Duration,
 ) -> Result<Step<StartedOne>, InstanceError> {
     let ready = forwarder.wait_until_ready(patience).await?;
     let admin = forwarder.addresses.admin;
-    // The door for operators may open later than that for clients, or be slow while the list is taken in.
+    // The admin server may start later than the listener for clients, or respond slowly while the list is loaded.
     let is_listed =
         || async { client::figures(admin).await.is_ok_and(|figures| figures.listed == list.length) };
     let gave_up = || list.discovery.whole_list_requests() >= list.max_requests;
@@ -342,7 +342,7 @@
     )))
 }
 
-/// Processor time that a process takes in a second, the mean of all over a span.
+/// CPU time per process and second over a period, the mean over the processes.
 async fn idle(forwarders: &[Forwarder], span: Duration) -> Result<f64, InstanceError> {
     let (begun, before) = (Instant::now(), total_processor_time(forwarders)?);
     sleep(span).await;
--- a/scale/src/instance/settings.rs
+++ b/scale/src/instance/settings.rs
@@ -1,25 +1,23 @@
-//! The scenario of `scale instance`: its keys and their ranges.
+//! Scenario of `scale instance`: its keys and their ranges.
 
 use crate::bounded_integer::BoundedInteger;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
 
-/// A number of destinations listed.
+/// A number of listed destinations.
 pub(super) type ListedCount = BoundedInteger<1, 1_000_000>;
-/// A number of messages held.
+/// A number of held messages.
 pub(super) type HeldCount = BoundedInteger<0, 1_000_000>;
-/// A number of processes side by side.
+/// A number of concurrent processes.
 pub(super) type ProcessCount = BoundedInteger<1, 200>;
-/// A number of runs.
 pub(super) type RunCount = BoundedInteger<1, 1_000>;
-/// A number of requests.
 type RequestCount = BoundedInteger<1, 1_000_000>;
-/// A number of destinations beside those that are only listed.
+/// A number of destinations that messages are sent to.
 type UsedCount = BoundedInteger<1, 10_000>;
-/// A span in milliseconds, perhaps none.
+/// A duration that may be zero.
 type Milliseconds = BoundedInteger<0, 600_000>;
-/// A span in milliseconds.
+/// A duration of at least a millisecond.
 type PositiveMilliseconds = BoundedInteger<1, 600_000>;
 
 /// A scenario file.
@@ -35,7 +33,7 @@
     pub processes: ProcessSeries,
 }
 
-/// What each forwarder is configured with.
+/// Configuration of each forwarder.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ForwarderSettings {
@@ -47,7 +45,7 @@
     pub disk_mb: BoundedInteger<1, 100_000>,
 }
 
-/// What is measured, and with which traffic.
+/// Traffic and phases of a run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Workload {
@@ -60,7 +58,7 @@
     pub patience_ms: PositiveMilliseconds,
 }
 
-/// The series by destinations listed.
+/// The series by listed destinations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ListedSeries {
@@ -68,7 +66,7 @@
     pub requests: RequestCount,
 }
 
-/// The series by messages held.
+/// The series by held messages.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct HeldSeries {
@@ -78,7 +76,7 @@
     pub destinations: UsedCount,
 }
 
-/// The series by processes side by side.
+/// The series by concurrent processes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ProcessSeries {
@@ -87,7 +85,6 @@
     pub listed: ListedCount,
 }
 
-/// A span of so many milliseconds.
 pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(number: BoundedInteger<MIN, MAX>) -> Duration {
     Duration::from_millis(number.get())
 }
