--- a/scale/src/instance/discovery_server.rs
+++ b/scale/src/instance/discovery_server.rs
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const VERSION: u64 = 1;
+const LIST_VERSION: u64 = 1;
 /// How long a watch waits if its request has no timeout.
-const DEFAULT_WATCH: Duration = Duration::from_secs(1);
+const DEFAULT_WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An endpoint list as discovery serves it.
 #[derive(Debug, Serialize)]
 struct ServerList {
     version: u64,
     full: bool,
-    servers: Vec<ServerLine>,
+    servers: Vec<ServerEntry>,
 }
 
 /// One endpoint of the list, the only one of its destination.
 #[derive(Debug, Serialize)]
-struct ServerLine {
+struct ServerEntry {
     id: String,
     addr: SocketAddr,
     zone: &'static str,
@@ -40,30 +40,30 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Destinations {
     pub listed: u64,
-    pub paused: u64,
+    pub rejecting: u64,
     /// Address of the destinations that deliver, and of those that reject.
     pub serving_address: SocketAddr,
-    pub paused_address: SocketAddr,
+    pub rejecting_address: SocketAddr,
     /// Listed rate limit of each destination, in calls per second.
-    pub rate: u64,
+    pub rate_limit: u64,
 }
 
 impl Destinations {
     /// Number of the first destination that rejects.
-    pub fn first_paused(&self) -> u64 {
-        self.listed.saturating_sub(self.paused)
+    pub fn first_rejecting(&self) -> u64 {
+        self.listed.saturating_sub(self.rejecting)
     }
 
-    fn line(&self, number: u64) -> ServerLine {
-        let pauses = number >= self.first_paused();
-        ServerLine {
+    fn entry(&self, number: u64) -> ServerEntry {
+        let rejects = number >= self.first_rejecting();
+        ServerEntry {
             id: format!("s-{number:08x}"),
-            addr: if pauses { self.paused_address } else { self.serving_address },
+            addr: if rejects { self.rejecting_address } else { self.serving_address },
             zone: ZONE,
             kind: KIND,
             cell: number,
             state: "active",
-            weight: self.rate as f64,
+            weight: self.rate_limit as f64,
             started_ms: 0,
         }
     }
@@ -72,55 +72,55 @@
 /// HTTP handler of the simulated discovery service.
 #[derive(Debug)]
 pub(super) struct DiscoveryServer {
-    whole_list: Bytes,
+    full_list: Bytes,
     no_changes: Bytes,
-    whole_list_requests: AtomicU64,
+    full_list_requests: AtomicU64,
 }
 
 impl DiscoveryServer {
     /// A service that lists these destinations.
     pub fn new(destinations: &Destinations) -> serde_json::Result<DiscoveryServer> {
-        let servers = (0..destinations.listed).map(|number| destinations.line(number)).collect();
-        let whole_list = ServerList { version: VERSION, full: true, servers };
-        let no_changes = ServerList { version: VERSION, full: false, servers: Vec::new() };
+        let servers = (0..destinations.listed).map(|number| destinations.entry(number)).collect();
+        let full_list = ServerList { version: LIST_VERSION, full: true, servers };
+        let no_changes = ServerList { version: LIST_VERSION, full: false, servers: Vec::new() };
         Ok(DiscoveryServer {
-            whole_list: serde_json::to_vec(&whole_list)?.into(),
+            full_list: serde_json::to_vec(&full_list)?.into(),
             no_changes: serde_json::to_vec(&no_changes)?.into(),
-            whole_list_requests: AtomicU64::new(0),
+            full_list_requests: AtomicU64::new(0),
         })
     }
 
     /// Size of the full list.
     pub fn list_bytes(&self) -> usize {
-        self.whole_list.len()
+        self.full_list.len()
     }
 
     /// Number of requests for the full list so far.
-    pub fn whole_list_requests(&self) -> u64 {
-        self.whole_list_requests.load(Ordering::Relaxed)
+    pub fn full_list_requests(&self) -> u64 {
+        self.full_list_requests.load(Ordering::Relaxed)
     }
 }
 
 impl Handler for DiscoveryServer {
-    async fn answer(&self, request: Request<Bytes>) -> Response<Full<Bytes>> {
+    async fn respond(&self, request: Request<Bytes>) -> Response<Full<Bytes>> {
         if request.method() == Method::POST {
             // A report of a message that was not delivered.
             return status(StatusCode::NO_CONTENT);
         }
         let query = request.uri().query().unwrap_or_default();
         if !query.contains("since=") {
-            self.whole_list_requests.fetch_add(1, Ordering::Relaxed);
-            return Response::new(Full::new(self.whole_list.clone()));
+            self.full_list_requests.fetch_add(1, Ordering::Relaxed);
+            return Response::new(Full::new(self.full_list.clone()));
         }
-        sleep(watch_span(query)).await;
+        sleep(watch_timeout(query)).await;
         Response::new(Full::new(self.no_changes.clone()))
     }
 }
 
 /// How long a watch request wants to wait for a change.
-fn watch_span(query: &str) -> Duration {
-    let named = query.split('&').find_map(|pair| pair.strip_prefix("timeout_ms="));
-    named.and_then(|number| number.parse().ok()).map_or(DEFAULT_WATCH, Duration::from_millis)
+fn watch_timeout(query: &str) -> Duration {
+    let parameter = query.split('&').find_map(|pair| pair.strip_prefix("timeout_ms="));
+    parameter.and_then(|number| number.parse().ok()).map_or(DEFAULT_WATCH_TIMEOUT, Duration::from_millis)
 }
 
 fn status(code: StatusCode) -> Response<Full<Bytes>> {
--- a/scale/src/instance/error.rs
+++ b/scale/src/instance/error.rs
@@ -10,54 +10,54 @@
 #[derive(Debug, Error)]
 pub enum InstanceError {
     /// An operating system call failed.
-    #[error("{what}: {source}")]
+    #[error("{operation}: {source}")]
     System {
         /// What was being done.
-        what: &'static str,
+        operation: &'static str,
         /// The system's error.
         source: io::Error,
     },
     /// A forwarder exited without being told to.
-    #[error("a forwarder ended with {status}: {log}")]
-    Ended {
+    #[error("a forwarder ended with {status}: {last_log_line}")]
+    ForwarderExited {
         /// Its exit status.
         status: ExitStatus,
         /// The last line that it logged.
-        log: String,
+        last_log_line: String,
     },
     /// A condition was not met in time.
-    #[error("not within {patience:?}: {what}")]
+    #[error("timed out after {timeout:?} waiting until {condition}")]
     TimedOut {
         /// The condition.
-        what: String,
+        condition: String,
         /// How long the run waited for it.
-        patience: Duration,
+        timeout: Duration,
     },
     /// A request to a forwarder failed.
-    #[error("a call to a forwarder failed: {0}")]
-    Call(#[from] hyper::Error),
+    #[error("a request to a forwarder failed: {0}")]
+    Request(#[from] hyper::Error),
     /// A forwarder responded with a status that the protocol does not allow.
-    #[error("a forwarder answered {0}")]
+    #[error("a forwarder responded with an unexpected status: {0}")]
     UnexpectedStatus(hyper::StatusCode),
     /// A forwarder kept refusing requests.
-    #[error("{taken_on} of {total} requests were taken on")]
-    RequestsNotTaken {
+    #[error("only {accepted} of {total} requests were accepted")]
+    RequestsRefused {
         /// Requests that the forwarders accepted.
-        taken_on: u64,
+        accepted: u64,
         /// All requests of the run.
         total: u64,
     },
     /// A forwarder did not restore all messages that it had accepted.
-    #[error("a forwarder holds {found} messages after its restart in place of {wanted}")]
-    NotHeld {
+    #[error("a forwarder holds {actual} messages after its restart instead of {expected}")]
+    HeldCountMismatch {
         /// Messages accepted before the restart.
-        wanted: u64,
+        expected: u64,
         /// Messages held after the restart.
-        found: u64,
+        actual: u64,
     },
     /// The statistics of a process cannot be read.
-    #[error("a figure of a process cannot be read: {0}")]
-    Figure(#[from] ProcError),
+    #[error("the statistics of a process cannot be read: {0}")]
+    ProcessStatistics(#[from] ProcError),
     /// A task of this process panicked.
     #[error("a task failed: {0}")]
     Task(#[from] tokio::task::JoinError),
@@ -65,7 +65,7 @@
 
 impl InstanceError {
     /// For `map_err`: converts a system error that occurred during `operation`.
-    pub(super) fn at(what: &'static str) -> impl Fn(io::Error) -> InstanceError {
-        move |source| InstanceError::System { what, source }
+    pub(super) fn during(operation: &'static str) -> impl Fn(io::Error) -> InstanceError {
+        move |source| InstanceError::System { operation, source }
     }
 }
--- a/scale/src/instance/experiment.rs
+++ b/scale/src/instance/experiment.rs
@@ -47,8 +47,8 @@
 /// Runs one series after the other, until a run fails or the user interrupts.
 fn run_points(plan: &Plan, results: &mut [PointResult], interrupt: &Interrupt) -> Result<(), ScaleError> {
     let progress = progress_bar(results.len() as u64 * plan.runs);
-    let mut by_series = results.chunk_by_mut(|one, next| one.point.series == next.point.series);
-    let finished = by_series.try_for_each(|series| run_series(plan, series, interrupt, &progress));
+    let mut series_groups = results.chunk_by_mut(|previous, next| previous.point.series == next.point.series);
+    let finished = series_groups.try_for_each(|series| run_series(plan, series, interrupt, &progress));
     progress.finish_and_clear();
     finished
 }
@@ -59,7 +59,7 @@
     plan: &Plan, series: &mut [PointResult], interrupt: &Interrupt, progress: &ProgressBar,
 ) -> Result<(), ScaleError> {
     for run in 0..plan.runs {
-        for result in series.iter_mut().filter(|result| result.not_taken.is_none()) {
+        for result in series.iter_mut().filter(|result| result.unsupported_reason.is_none()) {
             let point = result.point;
             progress.set_message(format!("{} {}", point.size(), point.series));
             match measure(plan, &point, interrupt)? {
@@ -67,9 +67,9 @@
                     tracing::info!(?point, run, ?measurement, "run measured");
                     result.runs.push(measurement);
                 }
-                RunOutcome::NotTaken(reason) => {
-                    tracing::info!(?point, run, reason, "point not taken");
-                    result.not_taken = Some(reason);
+                RunOutcome::Unsupported(reason) => {
+                    tracing::info!(?point, run, reason, "point not supported by the forwarder");
+                    result.unsupported_reason = Some(reason);
                 }
                 RunOutcome::Interrupted => {
                     let (done, planned) = (progress.position(), progress.length().unwrap_or_default());
@@ -93,8 +93,8 @@
 impl<'a> SeriesResults<'a> {
     /// Groups the results by series.
     fn collect(results: &'a [PointResult]) -> Vec<SeriesResults<'a>> {
-        let by_series = results.chunk_by(|one, next| one.point.series == next.point.series);
-        let collected = by_series.map(|results| {
+        let series_groups = results.chunk_by(|previous, next| previous.point.series == next.point.series);
+        let collected = series_groups.map(|results| {
             let series = results[0].point.series;
             let results: Vec<_> = results.iter().collect();
             let slopes = slopes(&results);
@@ -109,13 +109,16 @@
         if let Some(table) = point_table(results) {
             writeln!(output, "\nby {series}\n{table}")?;
         }
-        for line in results.iter().filter_map(|result| result.not_taken_line()) {
+        for line in results.iter().filter_map(|result| result.unsupported_line()) {
             writeln!(output, "{line}")?;
         }
     }
     let slopes: Vec<_> = series.iter().filter_map(|series| Some((series.series, series.slopes?))).collect();
     if slopes.is_empty() {
-        writeln!(output, "\nno slopes: they take {MIN_RUNS_FOR_SLOPES} runs of two points of a series")?;
+        writeln!(
+            output,
+            "\nno slopes: they need {MIN_RUNS_FOR_SLOPES} runs of at least two points of a series"
+        )?;
     } else {
         writeln!(output, "\nslopes by least squares\n{}", slope_table(&slopes))?;
     }
@@ -132,7 +135,7 @@
             records.write(&record(body))?;
         }
         if let Some(slopes) = *slopes {
-            let points = results.iter().filter(|result| result.not_taken.is_none()).count();
+            let points = results.iter().filter(|result| result.unsupported_reason.is_none()).count();
             let body = RecordBody::Slope { series: *series, points, slopes };
             records.write(&record(body))?;
         }
--- a/scale/src/instance/forwarder.rs
+++ b/scale/src/instance/forwarder.rs
@@ -22,7 +22,7 @@
 
 /// A forwarder's directory, and its addresses, which it keeps across restarts.
 #[derive(Debug)]
-pub(super) struct ForwarderFolder {
+pub(super) struct ForwarderDirectory {
     path: PathBuf,
     addresses: Addresses,
 }
@@ -31,59 +31,62 @@
 #[derive(Debug)]
 pub(super) struct Forwarder {
     child: Child,
-    started: Instant,
-    log: PathBuf,
+    started_at: Instant,
+    log_path: PathBuf,
     pub addresses: Addresses,
 }
 
-impl ForwarderFolder {
+impl ForwarderDirectory {
     /// Chooses the addresses and creates the directory with a configuration for them.
     pub fn create(
         path: PathBuf, discovery: SocketAddr, configuration: impl FnOnce(Addresses) -> Configuration,
-    ) -> Result<ForwarderFolder, InstanceError> {
-        let listen = own_address().map_err(InstanceError::at("choosing an address"))?;
-        let admin = own_address().map_err(InstanceError::at("choosing an address"))?;
+    ) -> Result<ForwarderDirectory, InstanceError> {
+        let listen = allocate_address().map_err(InstanceError::during("choosing an address"))?;
+        let admin = allocate_address().map_err(InstanceError::during("choosing an address"))?;
         let addresses = Addresses { listen, admin, discovery };
-        let folder = ForwarderFolder { path, addresses };
-        folder.fill(&configuration(addresses)).map_err(InstanceError::at("making a forwarder's folder"))?;
-        Ok(folder)
+        let directory = ForwarderDirectory { path, addresses };
+        directory
+            .write_files(&configuration(addresses))
+            .map_err(InstanceError::during("creating a forwarder's directory"))?;
+        Ok(directory)
     }
 
-    fn fill(&self, configuration: &Configuration) -> io::Result<()> {
-        fs::create_dir_all(self.state())?;
-        fs::create_dir_all(self.temporary())?;
-        fs::write(self.configuration(), serde_json::to_vec(configuration)?)
+    fn write_files(&self, configuration: &Configuration) -> io::Result<()> {
+        fs::create_dir_all(self.state_directory())?;
+        fs::create_dir_all(self.temporary_directory())?;
+        fs::write(self.configuration_path(), serde_json::to_vec(configuration)?)
     }
 
     /// Starts a process with this directory.
     pub fn start(&self, binary: &Path) -> Result<Forwarder, InstanceError> {
-        let log = self.path.join("log");
-        let log_file = File::create(&log).map_err(InstanceError::at("creating a forwarder's log"))?;
-        let started = Instant::now();
+        let log_path = self.path.join("log");
+        let log_file =
+            File::create(&log_path).map_err(InstanceError::during("creating a forwarder's log"))?;
+        let started_at = Instant::now();
         let child = Command::new(binary)
             .env_clear()
-            .env("BALANCER_CONFIG", self.configuration())
-            .env("BALANCER_STATE", self.state())
-            .env("TMPDIR", self.temporary())
+            .env("BALANCER_CONFIG", self.configuration_path())
+            .env("BALANCER_STATE", self.state_directory())
+            .env("TMPDIR", self.temporary_directory())
             .current_dir(&self.path)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log_file)
             .spawn()
-            .map_err(InstanceError::at("starting a forwarder"))?;
+            .map_err(InstanceError::during("starting a forwarder"))?;
         tracing::info!(process_id = child.id(), "forwarder started");
-        Ok(Forwarder { child, started, log, addresses: self.addresses })
+        Ok(Forwarder { child, started_at, log_path, addresses: self.addresses })
     }
 
-    fn configuration(&self) -> PathBuf {
+    fn configuration_path(&self) -> PathBuf {
         self.path.join("config.json")
     }
 
-    fn state(&self) -> PathBuf {
+    fn state_directory(&self) -> PathBuf {
         self.path.join("state")
     }
 
-    fn temporary(&self) -> PathBuf {
+    fn temporary_directory(&self) -> PathBuf {
         self.path.join("tmp")
     }
 }
@@ -94,21 +97,21 @@
     }
 
     /// Waits until the forwarder accepts clients, and returns the time since its start.
-    pub async fn wait_until_ready(&mut self, patience: Duration) -> Result<Duration, InstanceError> {
+    pub async fn wait_until_ready(&mut self, timeout: Duration) -> Result<Duration, InstanceError> {
         let listen = self.addresses.listen;
-        if self.wait_until(patience, || client::is_ready(listen)).await? {
-            return Ok(self.started.elapsed());
+        if self.wait_until(timeout, || client::is_ready(listen)).await? {
+            return Ok(self.started_at.elapsed());
         }
-        Err(InstanceError::TimedOut { what: "a forwarder accepts clients".to_owned(), patience })
+        Err(InstanceError::TimedOut { condition: "a forwarder accepts clients".to_owned(), timeout })
     }
 
     /// Waits until a condition is met, and returns whether it was met in time. Fails if the process exits.
     pub async fn wait_until<F: Future<Output = bool>>(
-        &mut self, patience: Duration, holds: impl Fn() -> F,
+        &mut self, timeout: Duration, is_met: impl Fn() -> F,
     ) -> Result<bool, InstanceError> {
-        let begun = Instant::now();
-        while begun.elapsed() < patience {
-            if holds().await {
+        let wait_started_at = Instant::now();
+        while wait_started_at.elapsed() < timeout {
+            if is_met().await {
                 return Ok(true);
             }
             self.check_running()?;
@@ -118,16 +121,17 @@
     }
 
     /// Time since the start of the process.
-    pub fn age(&self) -> Duration {
-        self.started.elapsed()
+    pub fn uptime(&self) -> Duration {
+        self.started_at.elapsed()
     }
 
     fn check_running(&mut self) -> Result<(), InstanceError> {
-        let status = self.child.try_wait().map_err(InstanceError::at("looking after a forwarder"))?;
+        let status =
+            self.child.try_wait().map_err(InstanceError::during("checking the status of a forwarder"))?;
         let Some(status) = status else { return Ok(()) };
-        let text = fs::read_to_string(&self.log).unwrap_or_default();
-        let log = text.lines().last().unwrap_or("its log is empty").to_owned();
-        Err(InstanceError::Ended { status, log })
+        let text = fs::read_to_string(&self.log_path).unwrap_or_default();
+        let last_log_line = text.lines().last().unwrap_or("its log is empty").to_owned();
+        Err(InstanceError::ForwarderExited { status, last_log_line })
     }
 }
 
@@ -141,7 +145,7 @@
 
 /// Chooses an address with an unused host number and a free port. No outgoing connection of another process can take
 /// the port before the forwarder listens on it, because those connections use other loopback addresses.
-fn own_address() -> io::Result<SocketAddr> {
+fn allocate_address() -> io::Result<SocketAddr> {
     static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed) % HOSTS_IN_NETWORK;
     let network = FIRST_NETWORK + std::process::id() % NETWORKS;
--- a/scale/src/instance/http_server.rs
+++ b/scale/src/instance/http_server.rs
@@ -17,33 +17,33 @@
 use tokio::time::sleep;
 
 /// Delay before the next connection is accepted after an error.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Responds to the requests of an HTTP server.
 pub(super) trait Handler: Send + Sync + 'static {
     /// Responds to a request whose body has been read completely.
-    fn answer(&self, request: Request<Bytes>) -> impl Future<Output = Response<Full<Bytes>>> + Send;
+    fn respond(&self, request: Request<Bytes>) -> impl Future<Output = Response<Full<Bytes>>> + Send;
 }
 
 /// A running server. Dropping it closes it and its connections.
 #[derive(Debug)]
 pub(super) struct HttpServer {
     pub address: SocketAddr,
-    accepting: AbortHandle,
+    accept_task: AbortHandle,
 }
 
 impl HttpServer {
     pub async fn start(handler: Arc<impl Handler>) -> io::Result<HttpServer> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let accepting = tokio::spawn(accept(listener, handler)).abort_handle();
-        Ok(HttpServer { address, accepting })
+        let accept_task = tokio::spawn(accept(listener, handler)).abort_handle();
+        Ok(HttpServer { address, accept_task })
     }
 }
 
 impl Drop for HttpServer {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
@@ -53,7 +53,7 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => drop(connections.spawn(serve(stream, handler.clone()))),
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
             Some(_) = connections.join_next() => {}
         }
@@ -68,7 +68,7 @@
         async move {
             let (head, body) = request.into_parts();
             let body = body.collect().await?.to_bytes();
-            Ok::<_, hyper::Error>(handler.answer(Request::from_parts(head, body)).await)
+            Ok::<_, hyper::Error>(handler.respond(Request::from_parts(head, body)).await)
         }
     });
     // An error closes the connection, which the forwarder notices.
--- a/scale/src/instance/load.rs
+++ b/scale/src/instance/load.rs
@@ -1,6 +1,6 @@
 //! Submits batches of messages to a forwarder over concurrent connections.
 
-use crate::instance::client::{Answer, Connection, Message};
+use crate::instance::client::{Connection, Message, SubmitResponse};
 use crate::instance::error::InstanceError;
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 use tokio::time::sleep;
 
 /// Delay before a refused message is submitted again.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const RESUBMIT_DELAY: Duration = Duration::from_millis(20);
 /// Refusals of one message after which it is no longer submitted.
-const MAX_TURNED_AWAY: u32 = 100;
+const MAX_REFUSALS: u32 = 100;
 
 /// Messages of one class, spread round-robin over a range of destinations.
 #[derive(Clone, Debug)]
@@ -29,58 +29,60 @@
 
 /// State shared by the connections over which a batch is submitted.
 #[derive(Debug)]
-struct Progress {
+struct BatchProgress {
     batch: Batch,
-    begun: AtomicU64,
-    taken_on: AtomicU64,
+    next_number: AtomicU64,
+    accepted: AtomicU64,
     next_id: Arc<AtomicU64>,
 }
 
 /// Submits a batch and returns the number of accepted messages. It is less than the size of the batch if the forwarder
 /// keeps refusing.
-pub(super) async fn hand_in(
+pub(super) async fn submit_batch(
     listen: SocketAddr, batch: Batch, next_id: Arc<AtomicU64>,
 ) -> Result<u64, InstanceError> {
     let connections = batch.connections.min(batch.count);
-    let (begun, taken_on) = (AtomicU64::new(0), AtomicU64::new(0));
-    let progress = Arc::new(Progress { batch, begun, taken_on, next_id });
+    let (next_number, accepted) = (AtomicU64::new(0), AtomicU64::new(0));
+    let progress = Arc::new(BatchProgress { batch, next_number, accepted, next_id });
     let mut tasks = JoinSet::new();
     for _ in 0..connections {
-        tasks.spawn(hand_in_over_one(listen, progress.clone()));
+        tasks.spawn(submit_over_connection(listen, progress.clone()));
     }
     while let Some(ended) = tasks.join_next().await {
         ended??;
     }
-    Ok(progress.taken_on.load(Ordering::Relaxed))
+    Ok(progress.accepted.load(Ordering::Relaxed))
 }
 
-async fn hand_in_over_one(listen: SocketAddr, progress: Arc<Progress>) -> Result<(), InstanceError> {
+async fn submit_over_connection(
+    listen: SocketAddr, progress: Arc<BatchProgress>,
+) -> Result<(), InstanceError> {
     let mut connection = Connection::open(listen).await?;
     loop {
-        let number = progress.begun.fetch_add(1, Ordering::Relaxed);
+        let number = progress.next_number.fetch_add(1, Ordering::Relaxed);
         if number >= progress.batch.count {
             return Ok(());
         }
-        if !hand_in_until_taken(&mut connection, &progress, number).await? {
+        if !submit_until_accepted(&mut connection, &progress, number).await? {
             // The forwarder is likely to refuse the remaining messages as well.
-            progress.begun.store(progress.batch.count, Ordering::Relaxed);
+            progress.next_number.store(progress.batch.count, Ordering::Relaxed);
             return Ok(());
         }
-        progress.taken_on.fetch_add(1, Ordering::Relaxed);
+        progress.accepted.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// Submits one message until it is accepted, and returns whether it was.
-async fn hand_in_until_taken(
-    connection: &mut Connection, progress: &Progress, number: u64,
+async fn submit_until_accepted(
+    connection: &mut Connection, progress: &BatchProgress, number: u64,
 ) -> Result<bool, InstanceError> {
-    for _ in 0..MAX_TURNED_AWAY {
+    for _ in 0..MAX_REFUSALS {
         // Each submission of a message has a new id.
         let id = progress.next_id.fetch_add(1, Ordering::Relaxed);
-        if connection.hand_in(&progress.batch.message(id, number)).await? == Answer::TakenOn {
+        if connection.submit(&progress.batch.message(id, number)).await? == SubmitResponse::Accepted {
             return Ok(true);
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RESUBMIT_DELAY).await;
     }
     Ok(false)
 }
--- a/scale/src/instance/plan.rs
+++ b/scale/src/instance/plan.rs
@@ -11,7 +11,7 @@
 
 /// The built-in scenario, and its file name in error messages.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/instance.toml");
-const BUILT_IN_NAME: &str = "scale/scenarios/instance.toml";
+const BUILT_IN_SCENARIO_NAME: &str = "scale/scenarios/instance.toml";
 /// Default path of the forwarder binary, relative to the target directory.
 const DEFAULT_BINARY: &str = "release/foldtrack";
 
@@ -71,14 +71,17 @@
     pub forwarder: ForwarderSettings,
     pub workload: Workload,
     /// Number of destinations of the held messages.
-    pub paused: u64,
+    pub rejecting_destinations: u64,
 }
 
 impl Plan {
     /// Combines the scenario and the arguments.
     pub fn load(arguments: &InstanceArguments) -> Result<Plan, ScaleError> {
-        let file =
-            ScenarioFile::load(arguments.common.scenario.as_deref(), BUILT_IN_NAME, BUILT_IN_SCENARIO)?;
+        let file = ScenarioFile::load(
+            arguments.common.scenario.as_deref(),
+            BUILT_IN_SCENARIO_NAME,
+            BUILT_IN_SCENARIO,
+        )?;
         let scenario: InstanceScenario = file.parse()?;
         check_held_series(&file, &scenario)?;
         let selected =
@@ -86,13 +89,13 @@
         let points = all_points(&scenario, arguments);
         Ok(Plan {
             scenario_name: file.path().display().to_string(),
-            binary: binary(arguments.binary.as_deref())?,
+            binary: resolve_binary(arguments.binary.as_deref())?,
             points: points.into_iter().filter(selected).collect(),
             runs: arguments.runs.unwrap_or(scenario.runs).get(),
             seed: arguments.common.seed.unwrap_or(scenario.seed),
             forwarder: scenario.forwarder,
             workload: scenario.workload,
-            paused: scenario.held.destinations.get(),
+            rejecting_destinations: scenario.held.destinations.get(),
         })
     }
 }
@@ -111,51 +114,52 @@
 
 fn all_points(scenario: &InstanceScenario, arguments: &InstanceArguments) -> Vec<Point> {
     let InstanceScenario { listed, held, processes, .. } = scenario;
-    let by_listed = chosen(&arguments.listed, &listed.points).iter().map(|count| Point {
+    let by_listed = argument_or_scenario(&arguments.listed, &listed.points).iter().map(|count| Point {
         series: Series::Listed,
         listed: count.get(),
         held: 0,
         processes: 1,
         requests: listed.requests.get(),
     });
-    let by_held = chosen(&arguments.held, &held.points).iter().map(|count| Point {
+    let by_held = argument_or_scenario(&arguments.held, &held.points).iter().map(|count| Point {
         series: Series::Held,
         listed: held.listed.get_ref().get(),
         held: count.get(),
         processes: 1,
         requests: held.requests.get(),
     });
-    let by_processes = chosen(&arguments.processes, &processes.points).iter().map(|count| Point {
-        series: Series::Processes,
-        listed: processes.listed.get(),
-        held: 0,
-        processes: count.get(),
-        requests: processes.requests.get(),
-    });
+    let by_processes =
+        argument_or_scenario(&arguments.processes, &processes.points).iter().map(|count| Point {
+            series: Series::Processes,
+            listed: processes.listed.get(),
+            held: 0,
+            processes: count.get(),
+            requests: processes.requests.get(),
+        });
     by_listed.chain(by_held).chain(by_processes).collect()
 }
 
 /// The argument's points if there are any, or else those of the scenario.
-fn chosen<'a, T>(argument: &'a [T], in_scenario: &'a [T]) -> &'a [T] {
+fn argument_or_scenario<'a, T>(argument: &'a [T], scenario: &'a [T]) -> &'a [T] {
     if argument.is_empty() {
-        in_scenario
+        scenario
     } else {
         argument
     }
 }
 
 /// Path of the forwarder binary, which must exist.
-fn binary(argument: Option<&Path>) -> Result<PathBuf, ScaleError> {
+fn resolve_binary(argument: Option<&Path>) -> Result<PathBuf, ScaleError> {
     let path = match argument {
         Some(path) => path.to_owned(),
         None => default_binary()?,
     };
-    let missing = |error: std::io::Error| ScaleError::Argument {
+    let invalid_path = |error: std::io::Error| ScaleError::Argument {
         argument: "--binary",
         reason: format!("{}: {error}; `cargo build --release` at the root builds it", path.display()),
     };
     // Absolute, because the forwarder is started in another directory.
-    path.canonicalize().map_err(missing)
+    path.canonicalize().map_err(invalid_path)
 }
 
 /// In the target directory, which has a directory for each profile; this tool's binary is in one of them.
--- a/scale/src/instance/results.rs
+++ b/scale/src/instance/results.rs
@@ -20,7 +20,7 @@
 pub(super) struct PointResult {
     pub point: Point,
     pub runs: Vec<RunMeasurement>,
-    pub not_taken: Option<String>,
+    pub unsupported_reason: Option<String>,
 }
 
 /// A record, with the binary that was measured.
@@ -43,7 +43,8 @@
         summary: PointSummary,
     },
     /// A point that the forwarder does not support.
-    NotTaken {
+    #[serde(rename = "not_taken")]
+    Unsupported {
         #[serde(flatten)]
         point: Point,
         reason: String,
@@ -80,37 +81,38 @@
 
 impl PointResult {
     pub fn new(point: Point) -> PointResult {
-        PointResult { point, runs: Vec::new(), not_taken: None }
+        PointResult { point, runs: Vec::new(), unsupported_reason: None }
     }
 
     /// The output line of a point that the forwarder does not support.
-    pub fn not_taken_line(&self) -> Option<String> {
+    pub fn unsupported_line(&self) -> Option<String> {
         let Point { series, listed, held, processes, .. } = self.point;
-        let reason = self.not_taken.as_deref()?;
+        let reason = self.unsupported_reason.as_deref()?;
         Some(format!("not taken: by {series}: {listed} listed, {held} held, {processes} processes: {reason}"))
     }
 
     /// The record of the point, or `None` if there is no run.
     pub fn record(&self) -> Option<RecordBody> {
         let point = self.point;
-        if let Some(reason) = self.not_taken.clone() {
-            return Some(RecordBody::NotTaken { point, reason });
+        if let Some(reason) = self.unsupported_reason.clone() {
+            return Some(RecordBody::Unsupported { point, reason });
         }
         Some(RecordBody::Point { point, runs: self.runs.len(), summary: self.summary()? })
     }
 
     fn summary(&self) -> Option<PointSummary> {
         Some(PointSummary {
-            ready_milliseconds: self.spread(|run| run.ready.as_secs_f64() * MILLIS_PER_SECOND)?,
-            list_milliseconds: self.spread(|run| run.listed.as_secs_f64() * MILLIS_PER_SECOND)?,
-            resident_bytes: self.spread(|run| run.resident_bytes)?,
-            idle_microseconds_per_second: self.spread(|run| run.idle_nanos / NANOS_PER_MICRO)?,
-            request_microseconds: self.spread(|run| run.request_nanos / NANOS_PER_MICRO)?,
+            ready_milliseconds: self.summarize(|run| run.time_to_ready.as_secs_f64() * MILLIS_PER_SECOND)?,
+            list_milliseconds: self.summarize(|run| run.time_to_list.as_secs_f64() * MILLIS_PER_SECOND)?,
+            resident_bytes: self.summarize(|run| run.resident_bytes)?,
+            idle_microseconds_per_second: self
+                .summarize(|run| run.idle_cpu_nanos_per_second / NANOS_PER_MICRO)?,
+            request_microseconds: self.summarize(|run| run.request_cpu_nanos / NANOS_PER_MICRO)?,
         })
     }
 
-    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
-        SampleSummary::from_values(self.runs.iter().map(figure))
+    fn summarize(&self, metric: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+        SampleSummary::from_values(self.runs.iter().map(metric))
     }
 }
 
@@ -132,7 +134,7 @@
 }
 
 fn point_row(result: &PointResult) -> Option<Vec<String>> {
-    if result.not_taken.is_some() {
+    if result.unsupported_reason.is_some() {
         return None;
     }
     let summary = result.summary()?;
@@ -151,25 +153,27 @@
 
 /// The slopes of a series over its supported points, or `None` if there are too few runs or all sizes are equal.
 pub(super) fn slopes(results: &[&PointResult]) -> Option<Slopes> {
-    let taken: Vec<_> = results.iter().copied().filter(|result| result.not_taken.is_none()).collect();
-    let runs = taken.iter().map(|result| result.runs.len()).min()?;
+    let supported: Vec<_> =
+        results.iter().copied().filter(|result| result.unsupported_reason.is_none()).collect();
+    let runs = supported.iter().map(|result| result.runs.len()).min()?;
     if runs < MIN_RUNS_FOR_SLOPES {
         return None;
     }
-    let slope = |figure: fn(&RunMeasurement) -> f64| {
+    let slope = |metric: fn(&RunMeasurement) -> f64| {
         let points = |run: usize| {
-            let of_run = taken.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
-            of_run.collect()
+            let samples =
+                supported.iter().map(|result| (result.point.size() as f64, metric(&result.runs[run])));
+            samples.collect()
         };
         slope_over_runs(runs, points)
     };
     Some(Slopes {
         runs,
-        ready_microseconds: slope(|run| micros(run.ready))?,
-        list_microseconds: slope(|run| micros(run.listed))?,
+        ready_microseconds: slope(|run| micros(run.time_to_ready))?,
+        list_microseconds: slope(|run| micros(run.time_to_list))?,
         resident_bytes: slope(|run| run.resident_bytes)?,
-        idle_nanoseconds_per_second: slope(|run| run.idle_nanos)?,
-        request_nanoseconds: slope(|run| run.request_nanos)?,
+        idle_nanoseconds_per_second: slope(|run| run.idle_cpu_nanos_per_second)?,
+        request_nanoseconds: slope(|run| run.request_cpu_nanos)?,
     })
 }
 
--- a/scale/src/instance/settings.rs
+++ b/scale/src/instance/settings.rs
@@ -14,7 +14,7 @@
 pub(super) type RunCount = BoundedInteger<1, 1_000>;
 type RequestCount = BoundedInteger<1, 1_000_000>;
 /// A number of destinations that messages are sent to.
-type UsedCount = BoundedInteger<1, 10_000>;
+type DestinationCount = BoundedInteger<1, 10_000>;
 /// A duration that may be zero.
 type Milliseconds = BoundedInteger<0, 600_000>;
 /// A duration of at least a millisecond.
@@ -49,13 +49,14 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Workload {
-    pub active: UsedCount,
+    pub active: DestinationCount,
     pub connections: BoundedInteger<1, 1_000>,
     pub body_bytes: BoundedInteger<0, 65_536>,
     pub service_time_ms: Milliseconds,
     pub settle_ms: Milliseconds,
     pub idle_ms: PositiveMilliseconds,
-    pub patience_ms: PositiveMilliseconds,
+    #[serde(rename = "patience_ms")]
+    pub step_timeout_ms: PositiveMilliseconds,
 }
 
 /// The series by listed destinations.
@@ -73,7 +74,7 @@
     pub points: Vec<HeldCount>,
     pub requests: RequestCount,
     pub listed: Spanned<ListedCount>,
-    pub destinations: UsedCount,
+    pub destinations: DestinationCount,
 }
 
 /// The series by concurrent processes.
@@ -85,6 +86,6 @@
     pub listed: ListedCount,
 }
 
-pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(number: BoundedInteger<MIN, MAX>) -> Duration {
-    Duration::from_millis(number.get())
+pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(duration: BoundedInteger<MIN, MAX>) -> Duration {
+    Duration::from_millis(duration.get())
 }
