--- a/scale/src/discovery/arguments.rs
+++ b/scale/src/discovery/arguments.rs
@@ -10,10 +10,10 @@
 pub struct DiscoveryArguments {
     #[command(flatten)]
     pub(super) common: CommonArguments,
-    /// Play only these cases.
+    /// Cases to run; defaults to all.
     #[arg(long, value_delimiter = ',', value_enum)]
     pub(super) cases: Vec<Case>,
-    /// Points by instances, in place of the scenario's.
+    /// Numbers of forwarder instances to simulate, instead of those of the scenario.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) instances: Vec<InstanceCount>,
 }
--- a/scale/src/discovery/endpoint_list.rs
+++ b/scale/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list that the stand-in for discovery holds, its versions, and their JSON form.
+//! The endpoint list of the simulated discovery service, its versions and its JSON form.
 
 use bytes::Bytes;
 use hatchline::discovery::list::{ServerEntry, ServerState};
@@ -6,16 +6,15 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Port of all listed endpoints.
 const ENDPOINT_PORT: u16 = 8080;
-/// First address of the listed endpoints.
+/// Address of the first listed endpoint; the others follow it.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([10, 1, 0, 1]);
-/// Spreads numbers over the names of endpoints, so that names do not tell their order.
+/// Odd multiplier that scatters endpoint ids, so that their order does not follow the list.
 const NAME_FACTOR: u32 = 2_654_435_761;
-/// The version of the first list.
+/// Version of the initial list.
 pub(super) const FIRST_VERSION: u64 = 1;
 
-/// An entry as discovery writes it.
+/// A list entry as discovery serializes it.
 #[derive(Clone, Debug, Serialize)]
 struct Entry {
     #[serde(flatten)]
@@ -23,7 +22,7 @@
     started_ms: u64,
 }
 
-/// A list as discovery writes it.
+/// A list as discovery serializes it.
 #[derive(Debug, Serialize)]
 struct Body<'a> {
     version: u64,
@@ -31,29 +30,29 @@
     servers: Vec<&'a Entry>,
 }
 
-/// The JSON form of a list, and how many entries it has.
+/// A serialized list and its number of entries.
 #[derive(Clone, Debug)]
 pub(super) struct ListBody {
     pub bytes: Bytes,
     pub entries: usize,
 }
 
-/// The list with its versions.
+/// The endpoint list with its change history.
 #[derive(Debug)]
 pub(super) struct EndpointList {
     entries: Vec<Entry>,
-    /// The version in which each entry changed last.
+    /// Version of the last change of each entry.
     changed_in: Vec<u64>,
     version: u64,
-    /// Versions before the present one from which changes are told.
+    /// Number of versions before the current one whose later changes are still known.
     history: u64,
     zones: usize,
-    /// Bodies of the present version, by the version from which on they tell changes; none for the whole list.
+    /// Serialized responses of the current version, by the version that they start from; `None` is the full list.
     bodies: BTreeMap<Option<u64>, ListBody>,
 }
 
 impl EndpointList {
-    /// A list of so many endpoints, spread over so many zones.
+    /// A list of `count` endpoints, spread evenly over `zones` zones.
     pub fn new(count: usize, zones: usize, history: u64) -> EndpointList {
         let entries: Vec<Entry> = (0..count).map(|number| entry(number as u32, zones as u32)).collect();
         EndpointList {
@@ -66,12 +65,11 @@
         }
     }
 
-    /// The present version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Number of entries, those that have left included.
+    /// Number of entries, including those that have left.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -97,7 +95,7 @@
         self.bodies.clear();
     }
 
-    /// The whole list, or the changes since a version where they are known.
+    /// The changes since a version if they are known, otherwise the full list.
     pub fn body(&mut self, since: Option<u64>) -> ListBody {
         let known = self.version.saturating_sub(self.history)..=self.version;
         let since = since.filter(|since| known.contains(since));
--- a/scale/src/discovery/experiment.rs
+++ b/scale/src/discovery/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment: plays the points, prints the tables and writes the records.
+//! Runs the points, prints the tables and writes the records.
 
 use crate::discovery::arguments::DiscoveryArguments;
 use crate::discovery::plan::{Case, Plan};
@@ -12,7 +12,7 @@
 use clap::ValueEnum;
 use std::io::{self, Write};
 
-/// Runs the experiment from their arguments to their results.
+/// Runs the experiment, from its arguments to its results.
 pub(super) fn run(arguments: &DiscoveryArguments) -> Result<(), ScaleError> {
     let plan = Plan::load(arguments)?;
     let records = arguments.common.json.as_deref().map(RecordFile::create).transpose()?;
@@ -44,7 +44,7 @@
     )
 }
 
-/// Plays the points in turn, until one fails or the user interrupts.
+/// Runs the points in turn, until one fails or the user interrupts.
 fn play(plan: &Plan, interrupt: &Interrupt, results: &mut Vec<PointResult>) -> Result<(), ScaleError> {
     let planned = plan.points.len() as u64;
     let progress = progress_bar(planned);
--- a/scale/src/discovery/fleet.rs
+++ b/scale/src/discovery/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated instances: each runs the forwarder's discovery client over an in-memory transport.
+//! The simulated replicas: each runs the forwarder's discovery client over an in-memory transport.
 
 use crate::discovery::meter::Meter;
 use crate::discovery::propagation::Propagation;
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// The way from an instance to discovery and back.
+/// Connection from a replica to the simulated discovery service, with network latency.
 struct InMemoryTransport {
     instance: usize,
     server: Arc<DiscoveryServer>,
@@ -46,7 +46,7 @@
     }
 }
 
-/// All instances, those that run and those that do not.
+/// All replicas, running and stopped.
 #[derive(Debug)]
 pub(super) struct Fleet {
     server: Arc<DiscoveryServer>,
@@ -54,14 +54,14 @@
     propagation: Propagation,
     options: ClientOptions,
     latency: Duration,
-    /// Gives each process a seed of its own.
+    /// Source of a separate seed for each started client.
     random: ChaCha8Rng,
     discovery_address: watch::Sender<SocketAddr>,
-    /// The client of each instance that runs.
+    /// The client task of each running replica.
     clients: Vec<Option<JoinHandle<()>>>,
 }
 
-/// What all instances share.
+/// Settings that all replicas share.
 #[derive(Debug)]
 pub(super) struct FleetSettings {
     pub options: ClientOptions,
@@ -71,7 +71,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which no instance runs.
+    /// A fleet whose replicas are all stopped.
     pub fn new(
         settings: FleetSettings, server: Arc<DiscoveryServer>, meter: Meter, propagation: Propagation,
     ) -> Fleet {
@@ -88,12 +88,11 @@
         }
     }
 
-    /// Starts all instances.
     pub fn start_all(&mut self) {
         (0..self.clients.len()).for_each(|instance| self.start(instance));
     }
 
-    /// Starts an instance from the list that it had last.
+    /// Starts a replica with the list version that it had last.
     pub fn start(&mut self, instance: usize) {
         self.server.forget(instance);
         let version = self.propagation.started(instance);
@@ -117,7 +116,7 @@
         self.clients[instance] = Some(tokio::spawn(running));
     }
 
-    /// Ends an instance, with no word to discovery.
+    /// Stops a replica without notifying discovery.
     pub fn stop(&mut self, instance: usize) {
         if let Some(client) = self.clients[instance].take() {
             client.abort();
--- a/scale/src/discovery/meter.rs
+++ b/scale/src/discovery/meter.rs
@@ -1,10 +1,10 @@
-//! Counts of calls and bytes over the measured span, at each instance and at discovery.
+//! Counts calls and bytes over the measured period, at each replica and at discovery.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Calls, and bytes both ways.
+/// Number of calls, and of bytes in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Load {
     pub calls: u64,
@@ -12,14 +12,13 @@
 }
 
 impl Load {
-    /// The sum of some loads.
     pub fn total(loads: &[Load]) -> Load {
         let mut total = Load::default();
         loads.iter().for_each(|load| total.add(load.calls, load.bytes as usize));
         total
     }
 
-    /// The most calls and the most bytes of some loads, which need not come together.
+    /// The most calls and the most bytes, which may be of different elements.
     pub fn greatest(loads: &[Load]) -> Load {
         Load {
             calls: loads.iter().map(|load| load.calls).max().unwrap_or_default(),
@@ -33,14 +32,14 @@
     }
 }
 
-/// What was counted.
+/// Traffic of the measured period.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counts {
-    /// At discovery, in each second.
+    /// At discovery, for each second.
     pub seconds: Vec<Load>,
-    /// At each instance, over the whole span.
+    /// At each replica, over the whole period.
     pub instances: Vec<Load>,
-    /// Calls that discovery turned away.
+    /// Calls that discovery rejected.
     pub turned_away: u64,
 }
 
@@ -50,12 +49,12 @@
     counts: Counts,
 }
 
-/// Counts what passes within the measured span. Clones count together.
+/// Counts traffic within the measured period. Clones share their counts.
 #[derive(Clone, Debug)]
 pub(super) struct Meter(Arc<Mutex<State>>);
 
 impl Meter {
-    /// A meter of a fleet that will count for so many seconds.
+    /// A meter that does not count until it is started.
     pub fn new(instances: usize, span: Duration) -> Meter {
         let counts = Counts {
             seconds: vec![Load::default(); span.as_secs() as usize],
@@ -65,37 +64,32 @@
         Meter(Arc::new(Mutex::new(State { begin: None, counts })))
     }
 
-    /// Counts from now on.
+    /// Starts the measured period.
     pub fn begin(&self) {
         self.lock().begin = Some(Instant::now());
     }
 
-    /// An instance has written a request.
     pub fn instance_sent(&self, instance: usize, bytes: usize) {
         self.count(|counts, _| counts.instances[instance].add(1, bytes));
     }
 
-    /// An instance has read a reply.
     pub fn instance_received(&self, instance: usize, bytes: usize) {
         self.count(|counts, _| counts.instances[instance].add(0, bytes));
     }
 
-    /// Discovery has read a request.
     pub fn request_arrived(&self, bytes: usize) {
         self.count(|counts, second| counts.seconds[second].add(1, bytes));
     }
 
-    /// Discovery has written a reply.
     pub fn reply_written(&self, bytes: usize) {
         self.count(|counts, second| counts.seconds[second].add(0, bytes));
     }
 
-    /// Discovery has turned a call away.
     pub fn call_turned_away(&self) {
         self.count(|counts, _| counts.turned_away += 1);
     }
 
-    /// All that was counted.
+    /// The traffic counted so far.
     pub fn counts(&self) -> Counts {
         self.lock().counts.clone()
     }
--- a/scale/src/discovery/mod.rs
+++ b/scale/src/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! `scale discovery`: calls and bytes between a fleet and discovery, and the time until changes of the list are in
-//! force, by the number of instances.
+//! `scale discovery`: traffic between a fleet and discovery, and the time until list changes are in force, by the number
+//! of replicas.
 //!
-//! Each simulated instance runs the forwarder's discovery client, [`hatchline::discovery::Client`], over an in-memory
-//! transport against a stand-in for discovery. All run on tokio's paused clock in one thread, so that the same seed
-//! gives the same figures. Times have that clock's step of a millisecond.
+//! Each simulated replica runs the forwarder's discovery client, [`hatchline::discovery::Client`], over an in-memory
+//! transport to a simulated discovery service. All run on tokio's paused clock in one thread, so the same seed gives the
+//! same results. The clock has a resolution of one millisecond.
 
 mod arguments;
 mod endpoint_list;
--- a/scale/src/discovery/plan.rs
+++ b/scale/src/discovery/plan.rs
@@ -1,4 +1,4 @@
-//! What the experiment plays: their points, and what happens when in a run.
+//! What the experiment runs: its points, and the timed events of a run.
 
 use crate::discovery::arguments::DiscoveryArguments;
 use crate::discovery::settings::{
@@ -14,27 +14,27 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The built-in scenario, and the name under which its errors are reported.
+/// The built-in scenario, and its file name in error messages.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/discovery.toml");
 const BUILT_IN_NAME: &str = "scale/scenarios/discovery.toml";
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// How long after the watches fell silent a change comes that they miss.
+/// Delay from the stall of the open watches to a list change that they miss.
 const MISSED_CHANGE_AFTER: Duration = Duration::from_millis(100);
 /// The zone that fails.
 pub(super) const FAILING_ZONE: usize = 0;
 
-/// What happens in a run beside steady changes.
+/// What happens in a run besides steady list changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "snake_case")]
 #[value(rename_all = "snake_case")]
 pub(super) enum Case {
-    /// Nothing else.
+    /// Only steady list changes.
     SteadyChanges,
-    /// The instances restart, one part of the fleet after the other.
+    /// The instances restart, one group after the other.
     RollingRestart,
-    /// A zone's instances vanish and its endpoints leave the list; then both return.
+    /// All instances of a zone stop and its endpoints leave the list; later both return.
     ZoneOutage,
-    /// Open watches fall silent once; later discovery is unreachable for a while.
+    /// Open watches get no response once; later discovery is unreachable for a while.
     Silence,
 }
 
@@ -49,14 +49,14 @@
     }
 }
 
-/// One run to be made.
+/// One run of the experiment.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Point {
     pub case: Case,
     pub instances: usize,
 }
 
-/// The whole set.
+/// Everything that the experiment runs.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub scenario_name: String,
@@ -66,7 +66,7 @@
 }
 
 impl Plan {
-    /// The plan that the scenario and the arguments give.
+    /// Combines the scenario and the arguments.
     pub fn load(arguments: &DiscoveryArguments) -> Result<Plan, ScaleError> {
         let file = match &arguments.common.scenario {
             Some(path) => ScenarioFile::read(path)?,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Troubles have to end within the measured span.
+/// Checks that all events end within the measured period.
 fn check_spans(file: &ScenarioFile, scenario: &DiscoveryScenario) -> Result<(), ScenarioError> {
     let DiscoveryScenario { rolling_restart, zone_outage, silence, .. } = scenario;
     let measured = scenario.phases.measured_s.get();
@@ -113,35 +113,35 @@
     check("silence.unreachable_s", silence.unreachable_s.span(), end)
 }
 
-/// Something that happens in a run.
+/// An event of a simulated run.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Action {
-    /// The configuration of one endpoint changes.
+    /// The listed rate of one endpoint changes.
     ChangeEndpoint,
-    /// Instances end, without a word.
+    /// These replicas stop without notifying discovery.
     Stop(Vec<usize>),
-    /// They start again, from the list that they had.
+    /// These replicas start again with the list that they had.
     Start(Vec<usize>),
     /// The endpoints of a zone leave the list.
     RemoveZone(usize),
-    /// They are listed again.
+    /// The endpoints of a zone are listed again.
     RestoreZone(usize),
-    /// The watches that are open now are never answered.
+    /// The watches that are open now never get a response.
     SilenceWatches,
-    /// Discovery answers nobody until then.
+    /// Discovery is unreachable until this time after the start of the measurement.
     Unreachable { until: Duration },
-    /// Discovery answers again.
+    /// Discovery is reachable again.
     Reachable,
 }
 
-/// An action, and when it happens after the warm-up.
+/// An action, and its time after the warm-up.
 #[derive(Clone, Debug)]
 pub(super) struct Step {
     pub at: Duration,
     pub action: Action,
 }
 
-/// All that happens in a run, in order of time.
+/// All actions of a run, in order of time.
 pub(super) fn schedule(scenario: &DiscoveryScenario, point: Point, random: &mut ChaCha8Rng) -> Vec<Step> {
     let mut steps = steady_changes(scenario.changes, scenario.phases, random);
     steps.extend(match point.case {
@@ -154,14 +154,14 @@
     steps
 }
 
-/// Changes at random times, independent of one another, as often as the scenario says on average.
+/// Changes at independent random times, with the mean frequency of the scenario.
 fn steady_changes(changes: ChangeSettings, phases: PhaseSettings, random: &mut ChaCha8Rng) -> Vec<Step> {
     let per_second = changes.per_day.get() as f64 * changes.factor.get() as f64 / SECONDS_PER_DAY;
     let end = seconds(phases.measured_s);
     let mut steps = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        // The spans between independent events follow an exponential distribution.
+        // The intervals of a Poisson process are exponentially distributed.
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
         at += Duration::from_secs_f64(-uniform.ln() / per_second);
         if at >= end {
--- a/scale/src/discovery/propagation.rs
+++ b/scale/src/discovery/propagation.rs
@@ -1,4 +1,4 @@
-//! How long changes of the list take until each instance has them.
+//! Measures how long list changes take until each replica has them.
 
 use crate::discovery::endpoint_list::FIRST_VERSION;
 use crate::error::ScaleError;
@@ -7,52 +7,52 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A change binds a forwarder so long after discovery had it and could be reached, whether or not it arrived.
+/// A forwarder must apply a change within this time after discovery has it and can be reached, even if it has not arrived.
 pub(super) const BINDING_AFTER: Duration = Duration::from_secs(6);
-/// The longest time that the histogram tells, and its significant digits.
+/// Longest recorded time, and significant digits of the histogram.
 const HISTOGRAM_MAX: Duration = Duration::from_secs(86_400);
 const HISTOGRAM_DIGITS: u8 = 3;
 const UPPER_QUANTILE: f64 = 0.99;
 const MEDIAN: f64 = 0.5;
 
-/// What an instance has.
+/// What is known of one replica.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
     version: u64,
-    /// Since when it runs; none while it does not.
+    /// Start time; `None` while the replica is stopped.
     running_since: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct State {
-    /// From when on each change could be told: its time, or the end of an outage of discovery.
+    /// When each change became available: at the change, or at the end of an outage of discovery.
     changes: Vec<Instant>,
     instances: Vec<Progress>,
     delays: Histogram<u64>,
     late: u64,
 }
 
-/// Times from each change until each instance that runs has it. Clones measure together.
+/// Times from each change until each running replica has it. Clones share their measurements.
 #[derive(Clone, Debug)]
 pub(super) struct Propagation(Arc<Mutex<State>>);
 
-/// The times of a run, in microseconds where they are times.
+/// Summary of the propagation times of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PropagationSummary {
     pub changes: u64,
     pub median: u64,
     pub upper: u64,
     pub longest: u64,
-    /// Pairs of a change and an instance that has it.
+    /// Pairs of a change and a replica that has it.
     pub in_force: u64,
-    /// Those of them that took longer than [`BINDING_AFTER`].
+    /// The pairs in force that took longer than [`BINDING_AFTER`].
     pub late: u64,
-    /// Pairs of a change and an instance that runs and does not have it.
+    /// Pairs of a change and a running replica that does not have it.
     pub missing: u64,
 }
 
 impl Propagation {
-    /// A fleet that has the first version and does not run.
+    /// A fleet of stopped replicas that have the first version.
     pub fn new(instances: usize) -> Result<Propagation, ScaleError> {
         let longest = HISTOGRAM_MAX.as_micros() as u64;
         let delays = Histogram::new_with_max(longest, HISTOGRAM_DIGITS)
@@ -62,24 +62,23 @@
         Ok(Propagation(Arc::new(Mutex::new(state))))
     }
 
-    /// The list has its next version, which can be told from then on.
+    /// Records a new version of the list, available from the given time.
     pub fn changed(&self, tellable_from: Instant) {
         self.lock().changes.push(tellable_from);
     }
 
-    /// An instance starts. Gives the version that it knows.
+    /// Records the start of a replica and returns its last version.
     pub fn started(&self, instance: usize) -> u64 {
         let progress = &mut self.lock().instances[instance];
         progress.running_since = Some(Instant::now());
         progress.version
     }
 
-    /// An instance stops.
     pub fn stopped(&self, instance: usize) {
         self.lock().instances[instance].running_since = None;
     }
 
-    /// An instance has learned a version and all changes before it.
+    /// Records that a replica has this version, with all changes up to it.
     pub fn learned(&self, instance: usize, version: u64) {
         let mut state = self.lock();
         let State { changes, instances, delays, late } = &mut *state;
@@ -94,12 +93,11 @@
         progress.version = progress.version.max(version);
     }
 
-    /// Whether all instances that run have all changes.
+    /// Whether all running replicas have all changes.
     pub fn is_complete(&self) -> bool {
         self.lock().missing() == 0
     }
 
-    /// The times so far.
     pub fn summary(&self) -> PropagationSummary {
         let state = self.lock();
         PropagationSummary {
--- a/scale/src/discovery/results.rs
+++ b/scale/src/discovery/results.rs
@@ -14,7 +14,7 @@
 const BYTES_PER_KIBIBYTE: f64 = 1_024.0;
 const PERCENT: f64 = 100.0;
 
-/// Calls, and bytes both ways.
+/// Calls per second, and bytes per second in both directions.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Rate {
     calls_per_second: f64,
@@ -28,31 +28,31 @@
     }
 }
 
-/// The figures of a point.
+/// Measurements of a point.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct PointResult {
     #[serde(flatten)]
     point: Point,
     measured_seconds: f64,
-    /// The mean over the instances.
+    /// Mean over the replicas.
     each_instance: Rate,
-    /// The instance with the most calls, and that with the most bytes.
+    /// Calls of the replica with the most calls, and bytes of the one with the most bytes.
     busiest_instance: Rate,
     discovery: Rate,
-    /// The second with the most calls, and that with the most bytes.
+    /// Calls of the second with the most calls, and bytes of the one with the most bytes.
     discovery_peak: Rate,
     turned_away_per_second: f64,
     changes: u64,
-    /// Pairs of a change and an instance that has it.
+    /// Pairs of a change and a replica that has it.
     in_force: u64,
     in_force_after_milliseconds: InForceAfter,
-    /// Part of the pairs in force that took over 6 s.
+    /// Share of the pairs in force that took longer than 6 s.
     in_force_after_6_seconds_percent: f64,
-    /// Pairs of a change and a running instance that does not have it at the end.
+    /// Pairs of a change and a running replica that does not have it at the end.
     not_in_force: u64,
 }
 
-/// Times until changes are in force.
+/// Time until a change is in force.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct InForceAfter {
     median: f64,
@@ -60,7 +60,7 @@
     max: f64,
 }
 
-/// A record of the file.
+/// A record of the results file.
 #[derive(Debug, Serialize)]
 pub(super) struct Record<'a> {
     record: &'static str,
@@ -72,14 +72,12 @@
 }
 
 impl<'a> Record<'a> {
-    /// The record of a point.
     pub fn new(provenance: &'a Provenance, result: &'a PointResult) -> Record<'a> {
         Record { record: "point", experiment: EXPERIMENT, provenance, result }
     }
 }
 
 impl PointResult {
-    /// The figures of a run.
     pub fn new(point: Point, measurement: &Measurement) -> PointResult {
         let Measurement { span, counts, propagation } = measurement;
         let seconds = span.as_secs_f64();
@@ -105,7 +103,6 @@
         }
     }
 
-    /// What else happened in the run.
     pub fn case(&self) -> Case {
         self.point.case
     }
--- a/scale/src/discovery/run.rs
+++ b/scale/src/discovery/run.rs
@@ -1,4 +1,4 @@
-//! One run of a point on tokio's paused clock: time passes only where all instances wait for it.
+//! One run of a point on tokio's paused clock: time advances only while all tasks wait for it.
 
 use crate::discovery::fleet::{Fleet, FleetSettings};
 use crate::discovery::meter::{Counts, Meter};
@@ -19,14 +19,14 @@
 use tokio::runtime;
 use tokio::time::{sleep_until, Instant};
 
-/// Where the simulated discovery is.
+/// Address of the simulated discovery service.
 const DISCOVERY_ADDRESS: ([u8; 4], u16) = ([10, 2, 0, 1], 8500);
-/// The listed rates that endpoints change to, in calls a second.
+/// Range of the listed rates that endpoints change to, in calls per second.
 const WEIGHTS: Range<f64> = 1.0..100.0;
-/// Virtual time between two looks at interrupts and at the end of the run.
+/// Simulated time between two checks for an interrupt and for the end of the run.
 const LOOK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a run showed.
+/// What a run measured.
 #[derive(Clone, Debug)]
 pub(super) struct Measurement {
     pub span: Duration,
@@ -37,7 +37,7 @@
 /// The user interrupted the run.
 struct Interrupted;
 
-/// Plays a point; none if the user interrupts.
+/// Runs a point. Returns `None` if the user interrupts it.
 pub(super) fn play(
     scenario: &DiscoveryScenario, point: Point, seed: u64, interrupt: &Interrupt,
 ) -> Result<Option<Measurement>, ScaleError> {
@@ -51,6 +51,7 @@
         Ok(simulation.run(interrupt).await.ok())
     })
 }
+/// The state of a run.
 
 struct Simulation<'a> {
     scenario: &'a DiscoveryScenario,
@@ -60,7 +61,7 @@
     meter: Meter,
     propagation: Propagation,
     random: ChaCha8Rng,
-    /// When discovery can be reached again, while it cannot.
+    /// When discovery becomes reachable again; `None` while it is reachable.
     reachable_at: Option<Instant>,
 }
 
@@ -149,7 +150,7 @@
     }
 }
 
-/// Lets virtual time pass, with looks at interrupts.
+/// Advances simulated time and checks for interrupts.
 async fn pass_until(end: Instant, interrupt: &Interrupt) -> Result<(), Interrupted> {
     while Instant::now() < end {
         if interrupt.is_received() {
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery, written from the protocol's page: watches that wait, changes since a version, whole lists,
-//! calls that are turned away, and silence.
+//! Simulated discovery service with the discovery protocol: watches that wait for changes, changes since a version, full
+//! lists, rejected calls, and periods without responses.
 
 use crate::discovery::endpoint_list::{EndpointList, ListBody};
 use crate::discovery::meter::Meter;
@@ -15,14 +15,14 @@
 use tokio::sync::{Notify, Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// A watch lasts while each call comes within so long of the last answer (protocol, "Discovery").
+/// A watch ends if the next call does not arrive within this time after the last response (discovery protocol).
 const WATCH_LASTS: Duration = Duration::from_millis(200);
 
-/// The service for a whole fleet.
+/// Discovery service of a whole fleet.
 #[derive(Debug)]
 pub(super) struct DiscoveryServer {
     address: SocketAddr,
-    /// Whether there are limits at all: an agent beside each instance has none.
+    /// Whether limits apply at all. An agent beside each replica has none.
     limited: bool,
     answer_time: Duration,
     entry_time: Duration,
@@ -35,26 +35,26 @@
 #[derive(Debug)]
 struct State {
     list: EndpointList,
-    /// When each instance's watch had its last answer.
+    /// When each replica's watch got its last response.
     last_answers: Vec<Option<Instant>>,
     new_watches: TokenBucket,
     limits_apply: bool,
     is_reachable: bool,
-    /// Calls that came in an earlier generation are never answered.
+    /// Calls of an earlier generation never get a response.
     generation: u64,
 }
 
-/// Whether a call is taken on.
+/// How a call is admitted.
 enum Admission<'a> {
-    /// It waits for its turn.
+    /// The call waits for a response slot.
     Queued,
-    /// It is answered at once.
+    /// The call gets a response at once, in a reserved slot.
     Slot(SemaphorePermit<'a>),
     TurnedAway,
 }
 
 impl DiscoveryServer {
-    /// The service at an address, without limits as yet.
+    /// A service whose limits do not apply yet.
     pub fn new(
         scenario: &DiscoveryScenario, address: SocketAddr, instances: usize, meter: Meter,
     ) -> DiscoveryServer {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Its limits hold from now on.
+    /// Activates the limits.
     pub fn apply_limits(&self) {
         self.lock().limits_apply = self.limited;
     }
 
-    /// Changes the list, and tells those who wait.
+    /// Changes the list and wakes the waiting watches.
     pub fn change(&self, change: impl FnOnce(&mut EndpointList)) {
         change(&mut self.lock().list);
         self.list_changed.notify_waiters();
@@ -100,30 +100,30 @@
         self.change(|list| list.change_zone(zone, state));
     }
 
-    /// The calls that are open now are never answered.
+    /// Leaves all open calls without a response.
     pub fn silence_open_calls(&self) {
         self.lock().generation += 1;
     }
 
-    /// From now on nobody is answered, or all are again.
+    /// Makes the service unreachable or reachable. Open calls never get a response.
     pub fn set_reachable(&self, is_reachable: bool) {
         self.silence_open_calls();
         self.lock().is_reachable = is_reachable;
     }
 
-    /// An instance has a new process: its watch is over.
+    /// Ends the watch of a replica, because it has a new process.
     pub fn forget(&self, instance: usize) {
         self.lock().last_answers[instance] = None;
     }
 
-    /// Waits until a connection stands: for ever while discovery cannot be reached.
+    /// Completes when a connection is established; never while the service is unreachable.
     pub async fn accept(&self) {
         if !self.lock().is_reachable {
             pending().await
         }
     }
 
-    /// Answers a call of an instance, or never does.
+    /// Handles a call of a replica. Never completes if the call gets no response.
     pub async fn call(&self, instance: usize, request: &ListRequest) -> Reply {
         self.accept().await;
         let generation = self.lock().generation;
@@ -181,7 +181,7 @@
         let ListBody { bytes, entries } = if self.lock().limits_apply {
             let slot = match slot {
                 Some(slot) => Some(slot),
-                // It is never closed.
+                // Acquiring fails only if the semaphore is closed, which never happens.
                 None => self.answer_slots.acquire().await.ok(),
             };
             let body = self.lock().list.body(since);
@@ -195,7 +195,7 @@
         Reply { status: StatusCode::OK, body: bytes }
     }
 
-    /// Waits until the list has another version than this.
+    /// Waits until the list's version differs from `since`.
     async fn news(&self, since: u64, until: Instant) {
         loop {
             let changed = self.list_changed.notified();
@@ -220,7 +220,7 @@
     }
 }
 
-/// Bytes of a reply on the wire: a head with what HTTP needs, and the body.
+/// Length of a response in bytes: a head with the required HTTP headers, and the body.
 pub(super) fn wire_length(reply: &Reply) -> usize {
     let Reply { status, body } = reply;
     let kind = if body.is_empty() { "connection: close" } else { "content-type: application/json" };
@@ -228,7 +228,7 @@
     head.len() + body.len()
 }
 
-/// So many tokens a second, at most those of one second at once.
+/// Rate limit of `per_second` tokens, with a burst of one second's tokens.
 #[derive(Debug)]
 struct TokenBucket {
     per_second: f64,
@@ -241,7 +241,7 @@
         TokenBucket { per_second, tokens: per_second, filled_at: Instant::now() }
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token if one is available, and returns whether it did.
     fn take(&mut self) -> bool {
         let now = Instant::now();
         let refill = (now - self.filled_at).as_secs_f64() * self.per_second;
--- a/scale/src/discovery/settings.rs
+++ b/scale/src/discovery/settings.rs
@@ -1,4 +1,4 @@
-//! The scenario of `scale discovery`: its keys and their ranges.
+//! Scenario of `scale discovery`: its keys and their ranges.
 
 use crate::bounded_integer::BoundedInteger;
 use hatchline::discovery::DiscoveryMode;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// A number of simulated instances.
+/// A number of simulated replicas.
 pub(super) type InstanceCount = BoundedInteger<1, 100_000>;
-/// A span in seconds, perhaps none.
+/// A duration that may be zero.
 type Seconds = BoundedInteger<0, 86_400>;
-/// A span in seconds.
+/// A duration of at least a second.
 type PositiveSeconds = BoundedInteger<1, 86_400>;
-/// A short span in milliseconds.
+/// A duration that may be zero.
 type Milliseconds = BoundedInteger<0, 60_000>;
 
 /// A scenario file.
@@ -33,7 +33,7 @@
     pub silence: SilenceSettings,
 }
 
-/// How lists reach the instances.
+/// How lists reach the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum ModeName {
@@ -42,7 +42,7 @@
 }
 
 impl ModeName {
-    /// The mode that the client is told.
+    /// The mode in the form that the discovery client takes.
     pub fn to_client(self) -> DiscoveryMode {
         match self {
             ModeName::Pushed => DiscoveryMode::Pushed,
@@ -51,14 +51,14 @@
     }
 }
 
-/// The network between the instances and discovery.
+/// The network between the replicas and discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct NetworkSettings {
     pub one_way_latency_ms: Milliseconds,
 }
 
-/// Limits of discovery.
+/// Limits and delays of discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ServerSettings {
@@ -77,7 +77,7 @@
     pub factor: BoundedInteger<1, 100_000>,
 }
 
-/// The parts of a run.
+/// Phases of a run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhaseSettings {
@@ -86,7 +86,7 @@
     pub settle_s: Seconds,
 }
 
-/// The restart of the fleet, part by part.
+/// Rolling restart of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RollingRestartSettings {
@@ -95,7 +95,7 @@
     pub down_ms: Milliseconds,
 }
 
-/// The outage of a zone.
+/// Outage of a zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ZoneOutageSettings {
@@ -103,7 +103,7 @@
     pub lasts_s: Spanned<PositiveSeconds>,
 }
 
-/// Silence of open watches, and of discovery.
+/// Watches without responses, and an outage of discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SilenceSettings {
@@ -112,12 +112,10 @@
     pub unreachable_s: Spanned<PositiveSeconds>,
 }
 
-/// A span of whole seconds.
 pub(super) fn seconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
     Duration::from_secs(span.get())
 }
 
-/// A span of whole milliseconds.
 pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
     Duration::from_millis(span.get())
 }
