--- a/scale/src/discovery/arguments.rs
+++ b/scale/src/discovery/arguments.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::CommonArguments;
 use crate::discovery::plan::Case;
-use crate::discovery::settings::InstanceCount;
+use crate::discovery::settings::ReplicaCount;
 use clap::Args;
 
 /// Arguments of `scale discovery`.
@@ -14,6 +14,6 @@
     #[arg(long, value_delimiter = ',', value_enum)]
     pub(super) cases: Vec<Case>,
     /// Numbers of forwarder instances to simulate, instead of those of the scenario.
-    #[arg(long, value_delimiter = ',', value_name = "COUNT")]
-    pub(super) instances: Vec<InstanceCount>,
+    #[arg(long = "instances", value_delimiter = ',', value_name = "COUNT")]
+    pub(super) replicas: Vec<ReplicaCount>,
 }
--- a/scale/src/discovery/experiment.rs
+++ b/scale/src/discovery/experiment.rs
@@ -3,7 +3,7 @@
 use crate::discovery::arguments::DiscoveryArguments;
 use crate::discovery::plan::{Case, Plan};
 use crate::discovery::results::{point_table, PointResult, Record};
-use crate::discovery::run::play as play_point;
+use crate::discovery::run::run_point;
 use crate::error::ScaleError;
 use crate::interrupt::Interrupt;
 use crate::progress::progress_bar;
@@ -21,12 +21,12 @@
     writeln!(output, "{}", heading(&plan))?;
     output.flush()?;
     let mut results = Vec::new();
-    let played = play(&plan, &interrupt, &mut results);
+    let outcome = run_points(&plan, &interrupt, &mut results);
     print_tables(&mut output, &results)?;
     if let Some(records) = records {
         write_records(records, &plan, &results)?;
     }
-    played
+    outcome
 }
 
 fn heading(plan: &Plan) -> String {
@@ -45,12 +45,12 @@
 }
 
 /// Runs the points in turn, until one fails or the user interrupts.
-fn play(plan: &Plan, interrupt: &Interrupt, results: &mut Vec<PointResult>) -> Result<(), ScaleError> {
+fn run_points(plan: &Plan, interrupt: &Interrupt, results: &mut Vec<PointResult>) -> Result<(), ScaleError> {
     let planned = plan.points.len() as u64;
     let progress = progress_bar(planned);
     for (done, point) in (0..).zip(plan.points.iter().copied()) {
-        progress.set_message(format!("{} instances, {}", point.instances, point.case));
-        let Some(measurement) = play_point(&plan.scenario, point, plan.seed, interrupt)? else {
+        progress.set_message(format!("{} instances, {}", point.replicas, point.case));
+        let Some(measurement) = run_point(&plan.scenario, point, plan.seed, interrupt)? else {
             progress.finish_and_clear();
             return Err(ScaleError::Interrupted { done, planned });
         };
@@ -64,9 +64,9 @@
 
 fn print_tables(output: &mut impl Write, results: &[PointResult]) -> Result<(), ScaleError> {
     for case in Case::value_variants() {
-        let of_case: Vec<_> = results.iter().filter(|result| result.case() == *case).collect();
-        if !of_case.is_empty() {
-            writeln!(output, "\n{case}\n{}", point_table(&of_case))?;
+        let case_results: Vec<_> = results.iter().filter(|result| result.case() == *case).collect();
+        if !case_results.is_empty() {
+            writeln!(output, "\n{case}\n{}", point_table(&case_results))?;
         }
     }
     output.flush()?;
--- a/scale/src/discovery/fleet.rs
+++ b/scale/src/discovery/fleet.rs
@@ -1,8 +1,8 @@
 //! The simulated replicas: each runs the forwarder's discovery client over an in-memory transport.
 
-use crate::discovery::meter::Meter;
 use crate::discovery::propagation::Propagation;
 use crate::discovery::server::{wire_length, DiscoveryServer};
+use crate::discovery::traffic_meter::TrafficMeter;
 use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent};
 use hatchline::discovery::{ListRequest, Reply, Transport, TransportError};
 use rand::{RngExt, SeedableRng};
@@ -16,9 +16,9 @@
 
 /// Connection from a replica to the simulated discovery service, with network latency.
 struct InMemoryTransport {
-    instance: usize,
+    replica: usize,
     server: Arc<DiscoveryServer>,
-    meter: Meter,
+    meter: TrafficMeter,
     latency: Duration,
     is_connected: bool,
 }
@@ -29,15 +29,15 @@
     ) -> Result<Reply, TransportError> {
         if !self.is_connected {
             sleep(self.latency).await;
-            self.server.accept().await;
+            self.server.accept_connection().await;
             sleep(self.latency).await;
             self.is_connected = true;
         }
-        self.meter.instance_sent(self.instance, request.wire_format(address).len());
+        self.meter.record_replica_request(self.replica, request.wire_format(address).len());
         sleep(self.latency).await;
-        let reply = self.server.call(self.instance, request).await;
+        let reply = self.server.handle(self.replica, request).await;
         sleep(self.latency).await;
-        self.meter.instance_received(self.instance, wire_length(&reply));
+        self.meter.record_replica_response(self.replica, wire_length(&reply));
         Ok(reply)
     }
 
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) struct Fleet {
     server: Arc<DiscoveryServer>,
-    meter: Meter,
+    meter: TrafficMeter,
     propagation: Propagation,
     options: ClientOptions,
     latency: Duration,
@@ -73,7 +73,7 @@
 impl Fleet {
     /// A fleet whose replicas are all stopped.
     pub fn new(
-        settings: FleetSettings, server: Arc<DiscoveryServer>, meter: Meter, propagation: Propagation,
+        settings: FleetSettings, server: Arc<DiscoveryServer>, meter: TrafficMeter, propagation: Propagation,
     ) -> Fleet {
         let clients = (0..settings.options.replicas).map(|_| None).collect();
         Fleet {
@@ -89,15 +89,15 @@
     }
 
     pub fn start_all(&mut self) {
-        (0..self.clients.len()).for_each(|instance| self.start(instance));
+        (0..self.clients.len()).for_each(|replica| self.start(replica));
     }
 
     /// Starts a replica with the list version that it had last.
-    pub fn start(&mut self, instance: usize) {
-        self.server.forget(instance);
-        let version = self.propagation.started(instance);
+    pub fn start(&mut self, replica: usize) {
+        self.server.end_watch(replica);
+        let version = self.propagation.replica_started(replica);
         let transport = InMemoryTransport {
-            instance,
+            replica,
             server: Arc::clone(&self.server),
             meter: self.meter.clone(),
             latency: self.latency,
@@ -105,22 +105,22 @@
         };
         let propagation = self.propagation.clone();
         let on_event = move |event| match event {
-            DiscoveryEvent::List(list) => propagation.learned(instance, list.version),
+            DiscoveryEvent::List(list) => propagation.record_version(replica, list.version),
             DiscoveryEvent::InvalidReply { status, error } => {
-                tracing::warn!(instance, %status, ?error, "unusable reply");
+                tracing::warn!(replica, %status, ?error, "invalid response from discovery");
             }
         };
         let random = fastrand::Rng::with_seed(self.random.random());
         let client = Client::new(transport, on_event, self.options, random);
-        let running = client.run(self.discovery_address.subscribe(), Some(version));
-        self.clients[instance] = Some(tokio::spawn(running));
+        let client_task = client.run(self.discovery_address.subscribe(), Some(version));
+        self.clients[replica] = Some(tokio::spawn(client_task));
     }
 
     /// Stops a replica without notifying discovery.
-    pub fn stop(&mut self, instance: usize) {
-        if let Some(client) = self.clients[instance].take() {
+    pub fn stop(&mut self, replica: usize) {
+        if let Some(client) = self.clients[replica].take() {
             client.abort();
         }
-        self.propagation.stopped(instance);
+        self.propagation.replica_stopped(replica);
     }
 }
--- a/scale/src/discovery/plan.rs
+++ b/scale/src/discovery/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::arguments::DiscoveryArguments;
 use crate::discovery::settings::{
-    milliseconds, seconds, ChangeSettings, DiscoveryScenario, InstanceCount, PhaseSettings,
+    milliseconds, seconds, ChangeSettings, DiscoveryScenario, PhaseSettings, ReplicaCount,
 };
 use crate::error::ScaleError;
 use crate::scenario::{ScenarioError, ScenarioFile};
@@ -16,10 +16,10 @@
 
 /// The built-in scenario, and its file name in error messages.
 const BUILT_IN_SCENARIO: &str = include_str!("../../scenarios/discovery.toml");
-const BUILT_IN_NAME: &str = "scale/scenarios/discovery.toml";
+const BUILT_IN_SCENARIO_NAME: &str = "scale/scenarios/discovery.toml";
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// Delay from the stall of the open watches to a list change that they miss.
-const MISSED_CHANGE_AFTER: Duration = Duration::from_millis(100);
+const MISSED_CHANGE_DELAY: Duration = Duration::from_millis(100);
 /// The zone that fails.
 pub(super) const FAILING_ZONE: usize = 0;
 
@@ -53,7 +53,8 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Point {
     pub case: Case,
-    pub instances: usize,
+    #[serde(rename = "instances")]
+    pub replicas: usize,
 }
 
 /// Everything that the experiment runs.
@@ -70,21 +71,21 @@
     pub fn load(arguments: &DiscoveryArguments) -> Result<Plan, ScaleError> {
         let file = match &arguments.common.scenario {
             Some(path) => ScenarioFile::read(path)?,
-            None => ScenarioFile::built_in(BUILT_IN_NAME, BUILT_IN_SCENARIO),
+            None => ScenarioFile::built_in(BUILT_IN_SCENARIO_NAME, BUILT_IN_SCENARIO),
         };
         let scenario: DiscoveryScenario = file.parse()?;
-        check_spans(&file, &scenario)?;
+        check_event_times(&file, &scenario)?;
         let all = Case::value_variants();
         let cases = if arguments.cases.is_empty() { all } else { &arguments.cases };
-        let counts: &[InstanceCount] =
-            if arguments.instances.is_empty() { &scenario.instances } else { &arguments.instances };
-        let points_of = |case: &Case| {
+        let replica_counts: &[ReplicaCount] =
+            if arguments.replicas.is_empty() { &scenario.replicas } else { &arguments.replicas };
+        let case_points = |case: &Case| {
             let case = *case;
-            counts.iter().map(move |count| Point { case, instances: count.get() as usize })
+            replica_counts.iter().map(move |count| Point { case, replicas: count.get() as usize })
         };
         Ok(Plan {
             scenario_name: file.path().display().to_string(),
-            points: cases.iter().flat_map(points_of).collect(),
+            points: cases.iter().flat_map(case_points).collect(),
             seed: arguments.common.seed.unwrap_or(scenario.seed),
             scenario,
         })
@@ -92,7 +93,7 @@
 }
 
 /// Checks that all events end within the measured period.
-fn check_spans(file: &ScenarioFile, scenario: &DiscoveryScenario) -> Result<(), ScenarioError> {
+fn check_event_times(file: &ScenarioFile, scenario: &DiscoveryScenario) -> Result<(), ScenarioError> {
     let DiscoveryScenario { rolling_restart, zone_outage, silence, .. } = scenario;
     let measured = scenario.phases.measured_s.get();
     let check = |key: &str, span: Range<usize>, end: u64| {
@@ -115,98 +116,109 @@
 
 /// An event of a simulated run.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Action {
+pub(super) enum SimulationAction {
     /// The listed rate of one endpoint changes.
     ChangeEndpoint,
     /// These replicas stop without notifying discovery.
-    Stop(Vec<usize>),
+    StopReplicas(Vec<usize>),
     /// These replicas start again with the list that they had.
-    Start(Vec<usize>),
+    StartReplicas(Vec<usize>),
     /// The endpoints of a zone leave the list.
     RemoveZone(usize),
     /// The endpoints of a zone are listed again.
     RestoreZone(usize),
     /// The watches that are open now never get a response.
-    SilenceWatches,
+    StallOpenWatches,
     /// Discovery is unreachable until this time after the start of the measurement.
-    Unreachable { until: Duration },
+    MakeUnreachable { until: Duration },
     /// Discovery is reachable again.
-    Reachable,
+    MakeReachable,
 }
 
 /// An action, and its time after the warm-up.
 #[derive(Clone, Debug)]
-pub(super) struct Step {
+pub(super) struct ScheduledAction {
     pub at: Duration,
-    pub action: Action,
+    pub action: SimulationAction,
 }
 
 /// All actions of a run, in order of time.
-pub(super) fn schedule(scenario: &DiscoveryScenario, point: Point, random: &mut ChaCha8Rng) -> Vec<Step> {
-    let mut steps = steady_changes(scenario.changes, scenario.phases, random);
-    steps.extend(match point.case {
+pub(super) fn schedule(
+    scenario: &DiscoveryScenario, point: Point, random: &mut ChaCha8Rng,
+) -> Vec<ScheduledAction> {
+    let mut actions = steady_changes(scenario.changes, scenario.phases, random);
+    actions.extend(match point.case {
         Case::SteadyChanges => Vec::new(),
-        Case::RollingRestart => rolling_restart(scenario, point.instances),
-        Case::ZoneOutage => zone_outage(scenario, point.instances),
+        Case::RollingRestart => rolling_restart(scenario, point.replicas),
+        Case::ZoneOutage => zone_outage(scenario, point.replicas),
         Case::Silence => silence(scenario),
     });
-    steps.sort_by_key(|step| step.at);
-    steps
+    actions.sort_by_key(|action| action.at);
+    actions
 }
 
 /// Changes at independent random times, with the mean frequency of the scenario.
-fn steady_changes(changes: ChangeSettings, phases: PhaseSettings, random: &mut ChaCha8Rng) -> Vec<Step> {
+fn steady_changes(
+    changes: ChangeSettings, phases: PhaseSettings, random: &mut ChaCha8Rng,
+) -> Vec<ScheduledAction> {
     let per_second = changes.per_day.get() as f64 * changes.factor.get() as f64 / SECONDS_PER_DAY;
     let end = seconds(phases.measured_s);
-    let mut steps = Vec::new();
+    let mut actions = Vec::new();
     let mut at = Duration::ZERO;
     loop {
         // The intervals of a Poisson process are exponentially distributed.
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
         at += Duration::from_secs_f64(-uniform.ln() / per_second);
         if at >= end {
-            return steps;
+            return actions;
         }
-        steps.push(Step { at, action: Action::ChangeEndpoint });
+        actions.push(ScheduledAction { at, action: SimulationAction::ChangeEndpoint });
     }
 }
 
-fn rolling_restart(scenario: &DiscoveryScenario, instances: usize) -> Vec<Step> {
+fn rolling_restart(scenario: &DiscoveryScenario, replicas: usize) -> Vec<ScheduledAction> {
     let settings = &scenario.rolling_restart;
-    let parts = settings.steps.get() as usize;
-    let part_of = |part: usize| (0..instances).filter(move |instance| instance % parts == part).collect();
-    let restart = |part: usize| {
-        let at = seconds(*settings.step_s.get_ref()) * part as u32;
-        let stop = Step { at, action: Action::Stop(part_of(part)) };
-        let start = Step { at: at + milliseconds(settings.down_ms), action: Action::Start(part_of(part)) };
+    let group_count = settings.steps.get() as usize;
+    let group_members =
+        |group: usize| (0..replicas).filter(move |replica| replica % group_count == group).collect();
+    let restart = |group: usize| {
+        let at = seconds(*settings.step_s.get_ref()) * group as u32;
+        let stop = ScheduledAction { at, action: SimulationAction::StopReplicas(group_members(group)) };
+        let start = ScheduledAction {
+            at: at + milliseconds(settings.down_ms),
+            action: SimulationAction::StartReplicas(group_members(group)),
+        };
         [stop, start]
     };
-    (0..parts).flat_map(restart).collect()
+    (0..group_count).flat_map(restart).collect()
 }
 
-fn zone_outage(scenario: &DiscoveryScenario, instances: usize) -> Vec<Step> {
+fn zone_outage(scenario: &DiscoveryScenario, replicas: usize) -> Vec<ScheduledAction> {
     let settings = &scenario.zone_outage;
     let zones = scenario.zones.get() as usize;
-    let in_zone: Vec<usize> = (0..instances).filter(|instance| instance % zones == FAILING_ZONE).collect();
+    let in_zone: Vec<usize> = (0..replicas).filter(|replica| replica % zones == FAILING_ZONE).collect();
     let from = seconds(settings.from_s);
     let until = from + seconds(*settings.lasts_s.get_ref());
     vec![
-        Step { at: from, action: Action::Stop(in_zone.clone()) },
-        Step { at: from, action: Action::RemoveZone(FAILING_ZONE) },
-        Step { at: until, action: Action::RestoreZone(FAILING_ZONE) },
-        Step { at: until, action: Action::Start(in_zone) },
+        ScheduledAction { at: from, action: SimulationAction::StopReplicas(in_zone.clone()) },
+        ScheduledAction { at: from, action: SimulationAction::RemoveZone(FAILING_ZONE) },
+        ScheduledAction { at: until, action: SimulationAction::RestoreZone(FAILING_ZONE) },
+        ScheduledAction { at: until, action: SimulationAction::StartReplicas(in_zone) },
     ]
 }
 
-fn silence(scenario: &DiscoveryScenario) -> Vec<Step> {
+fn silence(scenario: &DiscoveryScenario) -> Vec<ScheduledAction> {
     let settings = &scenario.silence;
     let from = seconds(settings.unreachable_from_s);
     let until = from + seconds(*settings.unreachable_s.get_ref());
     let watches_silent_at = seconds(*settings.watches_silent_at_s.get_ref());
     vec![
-        Step { at: watches_silent_at, action: Action::SilenceWatches },
-        Step { at: watches_silent_at + MISSED_CHANGE_AFTER, action: Action::ChangeEndpoint },
-        Step { at: from, action: Action::Unreachable { until } },
-        Step { at: until, action: Action::Reachable },
+        ScheduledAction { at: watches_silent_at, action: SimulationAction::StallOpenWatches },
+        ScheduledAction {
+            at: watches_silent_at + MISSED_CHANGE_DELAY,
+            action: SimulationAction::ChangeEndpoint,
+        },
+        ScheduledAction { at: from, action: SimulationAction::MakeUnreachable { until } },
+        ScheduledAction { at: until, action: SimulationAction::MakeReachable },
     ]
 }
--- a/scale/src/discovery/propagation.rs
+++ b/scale/src/discovery/propagation.rs
@@ -7,45 +7,46 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A forwarder must apply a change within this time after discovery has it and can be reached, even if it has not arrived.
-pub(super) const BINDING_AFTER: Duration = Duration::from_secs(6);
+/// A forwarder must apply a change within this time after discovery has it and is reachable, whether or not it
+/// has arrived.
+pub(super) const BINDING_DELAY: Duration = Duration::from_secs(6);
 /// Longest recorded time, and significant digits of the histogram.
 const HISTOGRAM_MAX: Duration = Duration::from_secs(86_400);
 const HISTOGRAM_DIGITS: u8 = 3;
-const UPPER_QUANTILE: f64 = 0.99;
-const MEDIAN: f64 = 0.5;
+const P99_QUANTILE: f64 = 0.99;
+const MEDIAN_QUANTILE: f64 = 0.5;
 
 /// What is known of one replica.
 #[derive(Clone, Copy, Debug)]
-struct Progress {
+struct ReplicaState {
     version: u64,
     /// Start time; `None` while the replica is stopped.
     running_since: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct State {
+struct PropagationState {
     /// When each change became available: at the change, or at the end of an outage of discovery.
     changes: Vec<Instant>,
-    instances: Vec<Progress>,
+    replicas: Vec<ReplicaState>,
     delays: Histogram<u64>,
     late: u64,
 }
 
 /// Times from each change until each running replica has it. Clones share their measurements.
 #[derive(Clone, Debug)]
-pub(super) struct Propagation(Arc<Mutex<State>>);
+pub(super) struct Propagation(Arc<Mutex<PropagationState>>);
 
 /// Summary of the propagation times of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PropagationSummary {
     pub changes: u64,
-    pub median: u64,
-    pub upper: u64,
-    pub longest: u64,
+    pub median_us: u64,
+    pub p99_us: u64,
+    pub max_us: u64,
     /// Pairs of a change and a replica that has it.
     pub in_force: u64,
-    /// The pairs in force that took longer than [`BINDING_AFTER`].
+    /// The pairs in force that took longer than [`BINDING_DELAY`].
     pub late: u64,
     /// Pairs of a change and a running replica that does not have it.
     pub missing: u64,
@@ -53,44 +54,45 @@
 
 impl Propagation {
     /// A fleet of stopped replicas that have the first version.
-    pub fn new(instances: usize) -> Result<Propagation, ScaleError> {
-        let longest = HISTOGRAM_MAX.as_micros() as u64;
-        let delays = Histogram::new_with_max(longest, HISTOGRAM_DIGITS)
+    pub fn new(replicas: usize) -> Result<Propagation, ScaleError> {
+        let max_delay_us = HISTOGRAM_MAX.as_micros() as u64;
+        let delays = Histogram::new_with_max(max_delay_us, HISTOGRAM_DIGITS)
             .map_err(|error| ScaleError::RunFailed(format!("histogram: {error}")))?;
-        let stopped = Progress { version: FIRST_VERSION, running_since: None };
-        let state = State { changes: Vec::new(), instances: vec![stopped; instances], delays, late: 0 };
+        let stopped = ReplicaState { version: FIRST_VERSION, running_since: None };
+        let state =
+            PropagationState { changes: Vec::new(), replicas: vec![stopped; replicas], delays, late: 0 };
         Ok(Propagation(Arc::new(Mutex::new(state))))
     }
 
     /// Records a new version of the list, available from the given time.
-    pub fn changed(&self, tellable_from: Instant) {
-        self.lock().changes.push(tellable_from);
+    pub fn record_change(&self, available_from: Instant) {
+        self.lock().changes.push(available_from);
     }
 
     /// Records the start of a replica and returns its last version.
-    pub fn started(&self, instance: usize) -> u64 {
-        let progress = &mut self.lock().instances[instance];
-        progress.running_since = Some(Instant::now());
-        progress.version
+    pub fn replica_started(&self, replica: usize) -> u64 {
+        let replica_state = &mut self.lock().replicas[replica];
+        replica_state.running_since = Some(Instant::now());
+        replica_state.version
     }
 
-    pub fn stopped(&self, instance: usize) {
-        self.lock().instances[instance].running_since = None;
+    pub fn replica_stopped(&self, replica: usize) {
+        self.lock().replicas[replica].running_since = None;
     }
 
     /// Records that a replica has this version, with all changes up to it.
-    pub fn learned(&self, instance: usize, version: u64) {
+    pub fn record_version(&self, replica: usize, version: u64) {
         let mut state = self.lock();
-        let State { changes, instances, delays, late } = &mut *state;
-        let progress = &mut instances[instance];
-        let Some(running_since) = progress.running_since else { return };
-        let learned = changes.iter().take((version - FIRST_VERSION) as usize);
-        for tellable_from in learned.skip((progress.version - FIRST_VERSION) as usize) {
-            let delay = (*tellable_from).max(running_since).elapsed();
+        let PropagationState { changes, replicas, delays, late } = &mut *state;
+        let replica_state = &mut replicas[replica];
+        let Some(running_since) = replica_state.running_since else { return };
+        let received = changes.iter().take((version - FIRST_VERSION) as usize);
+        for available_from in received.skip((replica_state.version - FIRST_VERSION) as usize) {
+            let delay = (*available_from).max(running_since).elapsed();
             delays.saturating_record(delay.as_micros() as u64);
-            *late += u64::from(delay > BINDING_AFTER);
+            *late += u64::from(delay > BINDING_DELAY);
         }
-        progress.version = progress.version.max(version);
+        replica_state.version = replica_state.version.max(version);
     }
 
     /// Whether all running replicas have all changes.
@@ -102,24 +104,25 @@
         let state = self.lock();
         PropagationSummary {
             changes: state.changes.len() as u64,
-            median: state.delays.value_at_quantile(MEDIAN),
-            upper: state.delays.value_at_quantile(UPPER_QUANTILE),
-            longest: state.delays.max(),
+            median_us: state.delays.value_at_quantile(MEDIAN_QUANTILE),
+            p99_us: state.delays.value_at_quantile(P99_QUANTILE),
+            max_us: state.delays.max(),
             in_force: state.delays.len(),
             late: state.late,
             missing: state.missing(),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, PropagationState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl State {
+impl PropagationState {
     fn missing(&self) -> u64 {
         let version = FIRST_VERSION + self.changes.len() as u64;
-        let running = self.instances.iter().filter(|progress| progress.running_since.is_some());
-        running.map(|progress| version - progress.version).sum()
+        let running_replicas =
+            self.replicas.iter().filter(|replica_state| replica_state.running_since.is_some());
+        running_replicas.map(|replica_state| version - replica_state.version).sum()
     }
 }
--- a/scale/src/discovery/results.rs
+++ b/scale/src/discovery/results.rs
@@ -1,9 +1,9 @@
 //! Results of the points: the table and the records.
 
-use crate::discovery::meter::Load;
 use crate::discovery::plan::{Case, Point};
 use crate::discovery::propagation::PropagationSummary;
 use crate::discovery::run::Measurement;
+use crate::discovery::traffic_meter::Traffic;
 use crate::provenance::Provenance;
 use crate::report::table;
 use serde::Serialize;
@@ -22,8 +22,8 @@
 }
 
 impl Rate {
-    fn over(seconds: f64, load: Load) -> Rate {
-        let Load { calls, bytes } = load;
+    fn over(seconds: f64, traffic: Traffic) -> Rate {
+        let Traffic { calls, bytes } = traffic;
         Rate { calls_per_second: calls as f64 / seconds, bytes_per_second: bytes as f64 / seconds }
     }
 }
@@ -35,13 +35,16 @@
     point: Point,
     measured_seconds: f64,
     /// Mean over the replicas.
-    each_instance: Rate,
+    #[serde(rename = "each_instance")]
+    replica_mean: Rate,
     /// Calls of the replica with the most calls, and bytes of the one with the most bytes.
-    busiest_instance: Rate,
+    #[serde(rename = "busiest_instance")]
+    busiest_replica: Rate,
     discovery: Rate,
     /// Calls of the second with the most calls, and bytes of the one with the most bytes.
     discovery_peak: Rate,
-    turned_away_per_second: f64,
+    #[serde(rename = "turned_away_per_second")]
+    rejected_per_second: f64,
     changes: u64,
     /// Pairs of a change and a replica that has it.
     in_force: u64,
@@ -79,24 +82,24 @@
 
 impl PointResult {
     pub fn new(point: Point, measurement: &Measurement) -> PointResult {
-        let Measurement { span, counts, propagation } = measurement;
-        let seconds = span.as_secs_f64();
-        let instance_seconds = seconds * point.instances as f64;
-        let PropagationSummary { median, upper, longest, in_force, late, .. } = *propagation;
+        let Measurement { duration, counts, propagation } = measurement;
+        let seconds = duration.as_secs_f64();
+        let replica_seconds = seconds * point.replicas as f64;
+        let PropagationSummary { median_us, p99_us, max_us, in_force, late, .. } = *propagation;
         PointResult {
             point,
             measured_seconds: seconds,
-            each_instance: Rate::over(instance_seconds, Load::total(&counts.instances)),
-            busiest_instance: Rate::over(seconds, Load::greatest(&counts.instances)),
-            discovery: Rate::over(seconds, Load::total(&counts.seconds)),
-            discovery_peak: Rate::over(1.0, Load::greatest(&counts.seconds)),
-            turned_away_per_second: counts.turned_away as f64 / seconds,
+            replica_mean: Rate::over(replica_seconds, Traffic::sum(&counts.per_replica)),
+            busiest_replica: Rate::over(seconds, Traffic::maximum(&counts.per_replica)),
+            discovery: Rate::over(seconds, Traffic::sum(&counts.per_second)),
+            discovery_peak: Rate::over(1.0, Traffic::maximum(&counts.per_second)),
+            rejected_per_second: counts.rejected as f64 / seconds,
             changes: propagation.changes,
             in_force,
             in_force_after_milliseconds: InForceAfter {
-                median: median as f64 / MICROS_PER_MILLI,
-                p99: upper as f64 / MICROS_PER_MILLI,
-                max: longest as f64 / MICROS_PER_MILLI,
+                median: median_us as f64 / MICROS_PER_MILLI,
+                p99: p99_us as f64 / MICROS_PER_MILLI,
+                max: max_us as f64 / MICROS_PER_MILLI,
             },
             in_force_after_6_seconds_percent: PERCENT * late as f64 / in_force.max(1) as f64,
             not_in_force: propagation.missing,
@@ -110,16 +113,16 @@
     fn row(&self) -> Vec<String> {
         let InForceAfter { median, p99, max } = self.in_force_after_milliseconds;
         vec![
-            self.point.instances.to_string(),
+            self.point.replicas.to_string(),
             self.changes.to_string(),
-            format!("{:.2}", self.each_instance.calls_per_second),
-            format!("{:.0}", self.each_instance.bytes_per_second),
-            format!("{:.2}", self.busiest_instance.calls_per_second),
+            format!("{:.2}", self.replica_mean.calls_per_second),
+            format!("{:.0}", self.replica_mean.bytes_per_second),
+            format!("{:.2}", self.busiest_replica.calls_per_second),
             format!("{:.0}", self.discovery.calls_per_second),
             kibibytes(self.discovery),
             format!("{:.0}", self.discovery_peak.calls_per_second),
             kibibytes(self.discovery_peak),
-            format!("{:.1}", self.turned_away_per_second),
+            format!("{:.1}", self.rejected_per_second),
             format!("{median:.0}"),
             format!("{p99:.0}"),
             format!("{max:.0}"),
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -1,9 +1,9 @@
-//! Simulated discovery service with the discovery protocol: watches that wait for changes, changes since a version, full
-//! lists, rejected calls, and periods without responses.
+//! Simulated discovery service with the discovery protocol: watches that wait for changes, changes since a version,
+//! full lists, rejected calls, and periods without responses.
 
 use crate::discovery::endpoint_list::{EndpointList, ListBody};
-use crate::discovery::meter::Meter;
-use crate::discovery::settings::{milliseconds, DiscoveryScenario, ModeName};
+use crate::discovery::settings::{milliseconds, DiscoveryScenario, ModeSetting};
+use crate::discovery::traffic_meter::TrafficMeter;
 use bytes::Bytes;
 use hatchline::discovery::list::ServerState;
 use hatchline::discovery::{ListRequest, Reply};
@@ -16,29 +16,29 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 /// A watch ends if the next call does not arrive within this time after the last response (discovery protocol).
-const WATCH_LASTS: Duration = Duration::from_millis(200);
+const WATCH_EXPIRY: Duration = Duration::from_millis(200);
 
 /// Discovery service of a whole fleet.
 #[derive(Debug)]
 pub(super) struct DiscoveryServer {
     address: SocketAddr,
     /// Whether limits apply at all. An agent beside each replica has none.
-    limited: bool,
-    answer_time: Duration,
-    entry_time: Duration,
+    has_limits: bool,
+    response_time: Duration,
+    time_per_entry: Duration,
     state: Mutex<State>,
     list_changed: Notify,
-    answer_slots: Semaphore,
-    meter: Meter,
+    response_slots: Semaphore,
+    meter: TrafficMeter,
 }
 
 #[derive(Debug)]
 struct State {
     list: EndpointList,
     /// When each replica's watch got its last response.
-    last_answers: Vec<Option<Instant>>,
+    last_responses: Vec<Option<Instant>>,
     new_watches: TokenBucket,
-    limits_apply: bool,
+    limits_active: bool,
     is_reachable: bool,
     /// Calls of an earlier generation never get a response.
     generation: u64,
@@ -49,14 +49,14 @@
     /// The call waits for a response slot.
     Queued,
     /// The call gets a response at once, in a reserved slot.
-    Slot(SemaphorePermit<'a>),
-    TurnedAway,
+    Immediate(SemaphorePermit<'a>),
+    Rejected,
 }
 
 impl DiscoveryServer {
     /// A service whose limits do not apply yet.
     pub fn new(
-        scenario: &DiscoveryScenario, address: SocketAddr, instances: usize, meter: Meter,
+        scenario: &DiscoveryScenario, address: SocketAddr, replicas: usize, meter: TrafficMeter,
     ) -> DiscoveryServer {
         let settings = scenario.server;
         let list = EndpointList::new(
@@ -66,27 +66,27 @@
         );
         let state = State {
             list,
-            last_answers: vec![None; instances],
+            last_responses: vec![None; replicas],
             new_watches: TokenBucket::new(settings.new_watches_per_second.get() as f64),
-            limits_apply: false,
+            limits_active: false,
             is_reachable: true,
             generation: 0,
         };
         DiscoveryServer {
             address,
-            limited: scenario.mode == ModeName::OnRequest,
-            answer_time: milliseconds(settings.answer_ms),
-            entry_time: Duration::from_micros(settings.entry_us.get()),
+            has_limits: scenario.mode == ModeSetting::OnRequest,
+            response_time: milliseconds(settings.response_ms),
+            time_per_entry: Duration::from_micros(settings.entry_us.get()),
             state: Mutex::new(state),
             list_changed: Notify::new(),
-            answer_slots: Semaphore::new(settings.answers_at_once.get() as usize),
+            response_slots: Semaphore::new(settings.concurrent_responses.get() as usize),
             meter,
         }
     }
 
     /// Activates the limits.
     pub fn apply_limits(&self) {
-        self.lock().limits_apply = self.limited;
+        self.lock().limits_active = self.has_limits;
     }
 
     /// Changes the list and wakes the waiting watches.
@@ -96,110 +96,112 @@
     }
 
     /// Changes the state of all endpoints of a zone.
-    pub fn change_zone(&self, zone: usize, state: ServerState) {
-        self.change(|list| list.change_zone(zone, state));
+    pub fn set_zone_state(&self, zone: usize, state: ServerState) {
+        self.change(|list| list.set_zone_state(zone, state));
     }
 
     /// Leaves all open calls without a response.
-    pub fn silence_open_calls(&self) {
+    pub fn stall_open_calls(&self) {
         self.lock().generation += 1;
     }
 
     /// Makes the service unreachable or reachable. Open calls never get a response.
     pub fn set_reachable(&self, is_reachable: bool) {
-        self.silence_open_calls();
+        self.stall_open_calls();
         self.lock().is_reachable = is_reachable;
     }
 
     /// Ends the watch of a replica, because it has a new process.
-    pub fn forget(&self, instance: usize) {
-        self.lock().last_answers[instance] = None;
+    pub fn end_watch(&self, replica: usize) {
+        self.lock().last_responses[replica] = None;
     }
 
     /// Completes when a connection is established; never while the service is unreachable.
-    pub async fn accept(&self) {
+    pub async fn accept_connection(&self) {
         if !self.lock().is_reachable {
             pending().await
         }
     }
 
     /// Handles a call of a replica. Never completes if the call gets no response.
-    pub async fn call(&self, instance: usize, request: &ListRequest) -> Reply {
-        self.accept().await;
+    pub async fn handle(&self, replica: usize, request: &ListRequest) -> Reply {
+        self.accept_connection().await;
         let generation = self.lock().generation;
-        self.meter.request_arrived(request.wire_format(self.address).len());
-        let reply = match self.admit(instance, request) {
-            Admission::TurnedAway => {
-                self.meter.call_turned_away();
+        self.meter.record_server_request(request.wire_format(self.address).len());
+        let reply = match self.admit(replica, request) {
+            Admission::Rejected => {
+                self.meter.record_rejection();
                 Reply { status: StatusCode::SERVICE_UNAVAILABLE, body: Bytes::new() }
             }
-            Admission::Slot(slot) => self.answer(request, Some(slot)).await,
-            Admission::Queued => self.answer(request, None).await,
+            Admission::Immediate(slot) => self.respond(request, Some(slot)).await,
+            Admission::Queued => self.respond(request, None).await,
         };
         if self.lock().generation != generation {
             pending().await
         }
-        self.meter.reply_written(wire_length(&reply));
-        let is_watch_answer = reply.status == StatusCode::OK && matches!(request, ListRequest::Watch { .. });
-        if is_watch_answer {
-            self.lock().last_answers[instance] = Some(Instant::now());
+        self.meter.record_server_response(wire_length(&reply));
+        let is_watch_response =
+            reply.status == StatusCode::OK && matches!(request, ListRequest::Watch { .. });
+        if is_watch_response {
+            self.lock().last_responses[replica] = Some(Instant::now());
         }
         reply
     }
 
-    fn admit(&self, instance: usize, request: &ListRequest) -> Admission<'_> {
+    fn admit(&self, replica: usize, request: &ListRequest) -> Admission<'_> {
         let mut state = self.lock();
-        if !state.limits_apply {
+        if !state.limits_active {
             return Admission::Queued;
         }
         match *request {
-            ListRequest::FullList => self.slot(),
-            ListRequest::Watch { .. } if state.has_watch(instance) => Admission::Queued,
+            ListRequest::FullList => self.reserve_slot(),
+            ListRequest::Watch { .. } if state.has_watch(replica) => Admission::Queued,
             ListRequest::Watch { since, .. } => {
-                let admission = if state.has_news(since) { self.slot() } else { Admission::Queued };
+                let admission =
+                    if state.has_changed_since(since) { self.reserve_slot() } else { Admission::Queued };
                 match admission {
-                    Admission::TurnedAway => Admission::TurnedAway,
-                    admission if state.new_watches.take() => admission,
-                    _ => Admission::TurnedAway,
+                    Admission::Rejected => Admission::Rejected,
+                    admission if state.new_watches.try_take() => admission,
+                    _ => Admission::Rejected,
                 }
             }
         }
     }
 
-    fn slot(&self) -> Admission<'_> {
-        self.answer_slots.try_acquire().map_or(Admission::TurnedAway, Admission::Slot)
+    fn reserve_slot(&self) -> Admission<'_> {
+        self.response_slots.try_acquire().map_or(Admission::Rejected, Admission::Immediate)
     }
 
-    async fn answer(&self, request: &ListRequest, slot: Option<SemaphorePermit<'_>>) -> Reply {
+    async fn respond(&self, request: &ListRequest, slot: Option<SemaphorePermit<'_>>) -> Reply {
         let since = match *request {
             ListRequest::FullList => None,
             ListRequest::Watch { since, wait } => {
-                self.news(since, Instant::now() + wait).await;
+                self.wait_for_change(since, Instant::now() + wait).await;
                 Some(since)
             }
         };
-        let ListBody { bytes, entries } = if self.lock().limits_apply {
+        let ListBody { bytes, entry_count } = if self.lock().limits_active {
             let slot = match slot {
                 Some(slot) => Some(slot),
                 // Acquiring fails only if the semaphore is closed, which never happens.
-                None => self.answer_slots.acquire().await.ok(),
+                None => self.response_slots.acquire().await.ok(),
             };
             let body = self.lock().list.body(since);
-            sleep(self.answer_time + self.entry_time * body.entries as u32).await;
+            sleep(self.response_time + self.time_per_entry * body.entry_count as u32).await;
             drop(slot);
             body
         } else {
             self.lock().list.body(since)
         };
-        tracing::trace!(?since, entries, "answered");
+        tracing::trace!(?since, entry_count, "response written");
         Reply { status: StatusCode::OK, body: bytes }
     }
 
     /// Waits until the list's version differs from `since`.
-    async fn news(&self, since: u64, until: Instant) {
+    async fn wait_for_change(&self, since: u64, deadline: Instant) {
         loop {
-            let changed = self.list_changed.notified();
-            if self.lock().has_news(since) || timeout_at(until, changed).await.is_err() {
+            let list_change = self.list_changed.notified();
+            if self.lock().has_changed_since(since) || timeout_at(deadline, list_change).await.is_err() {
                 return;
             }
         }
@@ -211,11 +213,11 @@
 }
 
 impl State {
-    fn has_watch(&self, instance: usize) -> bool {
-        self.last_answers[instance].is_some_and(|at| at.elapsed() <= WATCH_LASTS)
+    fn has_watch(&self, replica: usize) -> bool {
+        self.last_responses[replica].is_some_and(|at| at.elapsed() <= WATCH_EXPIRY)
     }
 
-    fn has_news(&self, since: u64) -> bool {
+    fn has_changed_since(&self, since: u64) -> bool {
         self.list.version() != since
     }
 }
@@ -223,8 +225,8 @@
 /// Length of a response in bytes: a head with the required HTTP headers, and the body.
 pub(super) fn wire_length(reply: &Reply) -> usize {
     let Reply { status, body } = reply;
-    let kind = if body.is_empty() { "connection: close" } else { "content-type: application/json" };
-    let head = format!("HTTP/1.1 {status}\r\n{kind}\r\ncontent-length: {}\r\n\r\n", body.len());
+    let header = if body.is_empty() { "connection: close" } else { "content-type: application/json" };
+    let head = format!("HTTP/1.1 {status}\r\n{header}\r\ncontent-length: {}\r\n\r\n", body.len());
     head.len() + body.len()
 }
 
@@ -242,7 +244,7 @@
     }
 
     /// Takes a token if one is available, and returns whether it did.
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
         let refill = (now - self.filled_at).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + refill).min(self.per_second);
--- a/scale/src/discovery/settings.rs
+++ b/scale/src/discovery/settings.rs
@@ -7,7 +7,7 @@
 use toml::Spanned;
 
 /// A number of simulated replicas.
-pub(super) type InstanceCount = BoundedInteger<1, 100_000>;
+pub(super) type ReplicaCount = BoundedInteger<1, 100_000>;
 /// A duration that may be zero.
 type Seconds = BoundedInteger<0, 86_400>;
 /// A duration of at least a second.
@@ -20,10 +20,11 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct DiscoveryScenario {
     pub seed: u64,
-    pub instances: Vec<InstanceCount>,
+    #[serde(rename = "instances")]
+    pub replicas: Vec<ReplicaCount>,
     pub listed: BoundedInteger<1, 1_000_000>,
     pub zones: BoundedInteger<1, 1_000>,
-    pub mode: ModeName,
+    pub mode: ModeSetting,
     pub network: NetworkSettings,
     pub server: ServerSettings,
     pub changes: ChangeSettings,
@@ -36,17 +37,17 @@
 /// How lists reach the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum ModeName {
+pub(super) enum ModeSetting {
     Pushed,
     OnRequest,
 }
 
-impl ModeName {
+impl ModeSetting {
     /// The mode in the form that the discovery client takes.
-    pub fn to_client(self) -> DiscoveryMode {
+    pub fn to_client_mode(self) -> DiscoveryMode {
         match self {
-            ModeName::Pushed => DiscoveryMode::Pushed,
-            ModeName::OnRequest => DiscoveryMode::OnRequest,
+            ModeSetting::Pushed => DiscoveryMode::Pushed,
+            ModeSetting::OnRequest => DiscoveryMode::OnRequest,
         }
     }
 }
@@ -63,8 +64,10 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct ServerSettings {
     pub new_watches_per_second: BoundedInteger<1, 1_000_000>,
-    pub answers_at_once: BoundedInteger<1, 1_000_000>,
-    pub answer_ms: Milliseconds,
+    #[serde(rename = "answers_at_once")]
+    pub concurrent_responses: BoundedInteger<1, 1_000_000>,
+    #[serde(rename = "answer_ms")]
+    pub response_ms: Milliseconds,
     pub entry_us: BoundedInteger<0, 1_000_000>,
     pub history: BoundedInteger<0, 1_000_000>,
 }
@@ -112,10 +115,10 @@
     pub unreachable_s: Spanned<PositiveSeconds>,
 }
 
-pub(super) fn seconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
-    Duration::from_secs(span.get())
+pub(super) fn seconds<const MIN: u64, const MAX: u64>(duration: BoundedInteger<MIN, MAX>) -> Duration {
+    Duration::from_secs(duration.get())
 }
 
-pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
-    Duration::from_millis(span.get())
+pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(duration: BoundedInteger<MIN, MAX>) -> Duration {
+    Duration::from_millis(duration.get())
 }
