--- a/scale/tests/all.rs
+++ b/scale/tests/all.rs
@@ -1,4 +1,4 @@
-//! `scale all` through its binary, at a small size.
+//! Runs `scale all` with small scenarios.
 
 mod common;
 
@@ -10,29 +10,29 @@
 
 #[test]
 fn the_experiments_run_in_turn_and_each_writes_its_records() {
-    let folder = Folder::with_scenario(POLICY);
-    folder.write("policy.toml", POLICY);
-    folder.write("discovery.toml", DISCOVERY);
-    folder.write("fleet.toml", FLEET);
+    let directory = Folder::with_scenario(POLICY);
+    directory.write("policy.toml", POLICY);
+    directory.write("discovery.toml", DISCOVERY);
+    directory.write("fleet.toml", FLEET);
     let only = "policy,discovery,fleet";
-    let output = folder.scale(&["all", "--only", only, "--scenarios", ".", "--json", "."]);
+    let output = directory.scale(&["all", "--only", only, "--scenarios", ".", "--json", "."]);
     assert!(output.status.success(), "{output:?}");
     let printed = String::from_utf8(output.stdout).unwrap();
     for (experiment, title) in
         [("policy", "by listed destinations"), ("discovery", "silence"), ("fleet", "steady traffic")]
     {
         assert!(printed.contains(title), "{title}: {printed}");
-        let records = records(&folder.read(&format!("{experiment}.jsonl")));
+        let records = records(&directory.read(&format!("{experiment}.jsonl")));
         assert!(!records.is_empty());
         assert!(records.iter().all(|record| record["command_line"][1] == "all"), "{records:?}");
     }
 }
 
 #[test]
-fn an_unusable_scenario_ends_the_set_and_is_named() {
-    let folder = Folder::with_scenario(POLICY);
-    folder.write("policy.toml", &POLICY.replacen("seed = 7", "sede = 7", 1));
-    let output = folder.scale(&["all", "--scenarios", "."]);
+fn an_invalid_scenario_stops_the_run_and_is_reported() {
+    let directory = Folder::with_scenario(POLICY);
+    directory.write("policy.toml", &POLICY.replacen("seed = 7", "sede = 7", 1));
+    let output = directory.scale(&["all", "--scenarios", "."]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(error.starts_with("scale: ./policy.toml:1: sede: "), "{error}");
--- a/scale/tests/common/mod.rs
+++ b/scale/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A folder of its own for each test, and the tool started in it.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A temporary directory for each test, in which it runs the `scale` command.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -12,41 +12,41 @@
 const STATUS_BAD_INPUT: i32 = 2;
 const SCENARIO_NAME: &str = "small.toml";
 
-/// A folder that holds a scenario.
+/// A temporary directory with a scenario file.
 pub struct Folder {
-    folder: TempDir,
+    directory: TempDir,
 }
 
 impl Folder {
     pub fn with_scenario(text: &str) -> Folder {
-        let folder = Folder { folder: tempfile::tempdir().unwrap() };
-        folder.write(SCENARIO_NAME, text);
-        folder
+        let directory = Folder { directory: tempfile::tempdir().unwrap() };
+        directory.write(SCENARIO_NAME, text);
+        directory
     }
 
     pub fn write(&self, name: &str, text: &str) {
-        std::fs::write(self.folder.path().join(name), text).unwrap();
+        std::fs::write(self.directory.path().join(name), text).unwrap();
     }
 
     pub fn read(&self, name: &str) -> String {
-        std::fs::read_to_string(self.folder.path().join(name)).unwrap()
+        std::fs::read_to_string(self.directory.path().join(name)).unwrap()
     }
 
-    /// Names of all that the folder holds.
+    /// Names of all files in the directory, sorted.
     pub fn names(&self) -> Vec<String> {
-        let entries = std::fs::read_dir(self.folder.path()).unwrap();
+        let entries = std::fs::read_dir(self.directory.path()).unwrap();
         let mut names: Vec<_> =
             entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect();
         names.sort();
         names
     }
 
-    /// Runs the tool in the folder.
+    /// Runs the command in the directory.
     pub fn scale(&self, arguments: &[&str]) -> Output {
         self.command(arguments).output().unwrap()
     }
 
-    /// Runs the tool, and interrupts it once its log has a line with this text.
+    /// Runs the command, and interrupts it once a line of its log contains this text.
     pub fn scale_interrupted_after(&self, arguments: &[&str], text: &str) -> Output {
         let mut command = self.command(arguments);
         command.args(["--log-level", "info"]).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -64,12 +64,12 @@
 
     fn command(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_scale"));
-        command.args(arguments).current_dir(self.folder.path()).stdin(Stdio::null());
+        command.args(arguments).current_dir(self.directory.path()).stdin(Stdio::null());
         command
     }
 }
 
-/// The records of a file, each line one JSON object.
+/// Parses the records of a file: one JSON object per line.
 pub fn records(text: &str) -> Vec<Value> {
     text.lines().map(|line| serde_json::from_str(line).expect(line)).collect()
 }
@@ -78,9 +78,9 @@
     records.iter().filter(|record| record["record"] == kind).collect()
 }
 
-/// Runs with a scenario that is to be turned down; gives the only line on standard error.
-pub fn rejection(folder: &Folder, arguments: &[&str]) -> String {
-    let output = folder.scale(arguments);
+/// Runs the command with input that it must reject. Returns the only line on standard error.
+pub fn rejection(directory: &Folder, arguments: &[&str]) -> String {
+    let output = directory.scale(arguments);
     assert_eq!(output.status.code(), Some(STATUS_BAD_INPUT), "{output:?}");
     assert!(output.stdout.is_empty(), "{output:?}");
     let error = String::from_utf8(output.stderr).unwrap();
@@ -88,15 +88,15 @@
     error
 }
 
-/// A line of a scenario, what is wrong in its place, the number of the line, its key, and a part of the message.
+/// A line of a scenario, its invalid replacement, the number of the line, its key, and a part of the error message.
 pub type WrongLine = (&'static str, &'static str, usize, &'static str, &'static str);
 
-/// Each wrong line is reported by file, line and key.
-pub fn assert_wrong_lines_are_reported(scenario: &str, arguments: &[&str], wrong_lines: &[WrongLine]) {
-    for (right, wrong, line, key, reason) in wrong_lines {
-        let folder = Folder::with_scenario(&scenario.replacen(right, wrong, 1));
-        let error = rejection(&folder, arguments);
-        let place = format!("scale: {SCENARIO_NAME}:{line}: {key}: ");
-        assert!(error.starts_with(&place) && error.contains(reason), "{wrong}: {error}");
+/// Checks that each invalid line is reported with file, line and key.
+pub fn assert_wrong_lines_are_reported(scenario: &str, arguments: &[&str], invalid_lines: &[WrongLine]) {
+    for (valid, invalid, line, key, reason) in invalid_lines {
+        let directory = Folder::with_scenario(&scenario.replacen(valid, invalid, 1));
+        let error = rejection(&directory, arguments);
+        let prefix = format!("scale: {SCENARIO_NAME}:{line}: {key}: ");
+        assert!(error.starts_with(&prefix) && error.contains(reason), "{invalid}: {error}");
     }
 }
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,21 +1,21 @@
-//! `scale discovery` through its binary, at a small size.
+//! Runs `scale discovery` with small scenarios.
 
 mod common;
 
 use common::{assert_wrong_lines_are_reported, of_kind, records, Folder, WrongLine, STATUS_INTERRUPTED};
 use serde_json::Value;
 
-/// A scenario that takes a moment.
+/// A scenario that runs quickly.
 const SCENARIO: &str = include_str!("common/small_discovery.toml");
 const ARGUMENTS: [&str; 5] = ["discovery", "--scenario", "small.toml", "--json", "out.jsonl"];
 const CASES: [&str; 4] = ["steady_changes", "rolling_restart", "zone_outage", "silence"];
 
-/// Plays the scenario with further arguments; gives the records of its points.
-fn play(scenario: &str, arguments: &[&str]) -> Vec<Value> {
-    let folder = Folder::with_scenario(scenario);
-    let output = folder.scale(&[&ARGUMENTS[..], arguments].concat());
+/// Runs a scenario with additional arguments. Returns the records of its points.
+fn run_scenario(scenario: &str, arguments: &[&str]) -> Vec<Value> {
+    let directory = Folder::with_scenario(scenario);
+    let output = directory.scale(&[&ARGUMENTS[..], arguments].concat());
     assert!(output.status.success(), "{output:?}");
-    records(&folder.read("out.jsonl"))
+    records(&directory.read("out.jsonl"))
 }
 
 fn number(record: &Value, pointer: &str) -> f64 {
@@ -24,21 +24,21 @@
 }
 
 #[test]
-fn a_small_run_prints_a_table_a_case_and_writes_a_record_a_point() {
-    let folder = Folder::with_scenario(SCENARIO);
-    let output = folder.scale(&ARGUMENTS);
+fn a_small_run_prints_a_table_per_case_and_writes_a_record_per_point() {
+    let directory = Folder::with_scenario(SCENARIO);
+    let output = directory.scale(&ARGUMENTS);
     assert!(output.status.success(), "{output:?}");
     assert!(output.stderr.is_empty(), "{output:?}");
     let printed = String::from_utf8(output.stdout).unwrap();
     for title in ["steady changes", "rolling restart", "zone outage", "silence"] {
         assert!(printed.lines().any(|line| line == title), "{title}: {printed}");
     }
-    let records = records(&folder.read("out.jsonl"));
+    let records = records(&directory.read("out.jsonl"));
     let points = of_kind(&records, "point");
-    let seen: Vec<_> = points.iter().map(|point| (&point["case"], &point["instances"])).collect();
+    let actual: Vec<_> = points.iter().map(|point| (&point["case"], &point["instances"])).collect();
     let expected: Vec<(Value, Value)> =
         CASES.into_iter().flat_map(|case| [8, 40].map(|count| (case.into(), count.into()))).collect();
-    assert_eq!(seen, expected.iter().map(|(case, count)| (case, count)).collect::<Vec<_>>());
+    assert_eq!(actual, expected.iter().map(|(case, count)| (case, count)).collect::<Vec<_>>());
     for point in points {
         assert_eq!((&point["experiment"], &point["seed"]), (&"discovery".into(), &7.into()));
         assert!(point["commit"].is_string());
@@ -51,52 +51,51 @@
 }
 
 #[test]
-fn each_case_shows_its_load_and_its_delays() {
-    let points = play(SCENARIO, &["--instances", "40"]);
-    let [steady, restart, zone, silence] = &points[..] else { panic!("{points:?}") };
-    let instances = 40.0;
+fn each_case_has_the_expected_load_and_delays() {
+    let points = run_scenario(SCENARIO, &["--instances", "40"]);
+    let [steady, rolling_restart, zone_outage, silence] = &points[..] else { panic!("{points:?}") };
+    let replicas = 40.0;
     let changes = number(steady, "/changes");
-    // A call a second, and one more for each change.
+    // One call per second, and one more for each change.
     let calls = number(steady, "/each_instance/calls_per_second");
     assert!(calls > 0.9 && calls < 1.1 + changes / 60.0, "{steady}");
     let at_discovery = number(steady, "/discovery/calls_per_second");
-    assert!((at_discovery / (calls * instances) - 1.0).abs() < 0.01, "{steady}");
-    assert_eq!(number(steady, "/in_force"), changes * instances);
+    assert!((at_discovery / (calls * replicas) - 1.0).abs() < 0.01, "{steady}");
+    assert_eq!(number(steady, "/in_force"), changes * replicas);
     assert_eq!(number(steady, "/turned_away_per_second"), 0.0);
     let longest = |point| number(point, "/in_force_after_milliseconds/max");
     assert!(longest(steady) < 1_000.0, "{steady}");
-    // A process that starts again waits for its turn.
-    assert!(longest(restart) > longest(steady), "{restart}");
-    // Fifteen entries of over a hundred bytes go to thirty instances at once.
+    // A restarted client waits for a random delay before its first call.
+    assert!(longest(rolling_restart) > longest(steady), "{rolling_restart}");
+    // The 15 entries of the zone, of over 100 bytes each, go to 30 replicas at once.
     let peak_bytes = |point| number(point, "/discovery_peak/bytes_per_second");
     let zone_bytes = 15.0 * 100.0 * 30.0;
-    assert!(peak_bytes(steady) < zone_bytes && peak_bytes(zone) > zone_bytes, "{zone}");
-    // A watch that misses a change has been open for less than 1 s, and is given up 2.5 s after it began; then 40 begin
-    // anew at 10 a second.
+    assert!(peak_bytes(steady) < zone_bytes && peak_bytes(zone_outage) > zone_bytes, "{zone_outage}");
+    // A watch that misses a change has been open for less than 1 s, and times out 2.5 s after it began. Then 40
+    // replicas open new watches, at a limit of 10 per second.
     assert!(longest(silence) > 1_500.0, "{silence}");
     assert!(number(silence, "/turned_away_per_second") > 0.0, "{silence}");
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures_and_another_seed_others() {
-    let first = play(SCENARIO, &["--instances", "40"]);
-    assert_eq!(first, play(SCENARIO, &["--instances", "40"]));
-    let other = play(SCENARIO, &["--instances", "40", "--seed", "8"]);
-    let figures =
-        |points: &[Value]| points.iter().map(|point| point["discovery"].clone()).collect::<Vec<_>>();
-    assert_ne!(figures(&first), figures(&other));
+fn the_same_seed_gives_the_same_results_and_another_seed_different_ones() {
+    let first = run_scenario(SCENARIO, &["--instances", "40"]);
+    assert_eq!(first, run_scenario(SCENARIO, &["--instances", "40"]));
+    let other = run_scenario(SCENARIO, &["--instances", "40", "--seed", "8"]);
+    let rates = |points: &[Value]| points.iter().map(|point| point["discovery"].clone()).collect::<Vec<_>>();
+    assert_ne!(rates(&first), rates(&other));
 }
 
 #[test]
-fn an_agent_beside_each_instance_turns_nobody_away() {
+fn in_pushed_mode_no_call_is_rejected_and_no_change_is_late() {
     let pushed = SCENARIO.replacen("on_request", "pushed", 1);
-    let points = play(&pushed, &["--cases", "silence", "--instances", "40"]);
+    let points = run_scenario(&pushed, &["--cases", "silence", "--instances", "40"]);
     assert_eq!(points.len(), 1);
     assert_eq!(number(&points[0], "/turned_away_per_second"), 0.0);
     assert_eq!(number(&points[0], "/in_force_after_6_seconds_percent"), 0.0);
 }
 
-const WRONG_LINES: [WrongLine; 6] = [
+const INVALID_LINES: [WrongLine; 6] = [
     ("zones = 4", "zone = 4", 4, "zone", "unknown field"),
     ("listed = 60", "listed = 0", 3, "listed", "0 is out of range, 1 to 1000000"),
     ("\"on_request\"", "\"pulled\"", 5, "mode", "unknown variant"),
@@ -106,18 +105,18 @@
 ];
 
 #[test]
-fn a_wrong_scenario_is_reported_on_one_line_with_file_line_and_key() {
-    assert_wrong_lines_are_reported(SCENARIO, &ARGUMENTS, &WRONG_LINES);
+fn an_invalid_scenario_is_reported_on_one_line_with_file_line_and_key() {
+    assert_wrong_lines_are_reported(SCENARIO, &ARGUMENTS, &INVALID_LINES);
 }
 
 #[test]
-fn an_interrupt_leaves_what_is_done() {
-    let folder = Folder::with_scenario(SCENARIO);
-    // The second point takes far longer than an interrupt.
+fn an_interrupt_keeps_completed_points() {
+    let directory = Folder::with_scenario(SCENARIO);
+    // The second point takes much longer than the interrupt.
     let arguments = [&ARGUMENTS[..], &["--cases", "steady_changes", "--instances", "8,5000"]].concat();
-    let output = folder.scale_interrupted_after(&arguments, "point measured");
+    let output = directory.scale_interrupted_after(&arguments, "point measured");
     assert_eq!(output.status.code(), Some(STATUS_INTERRUPTED), "{output:?}");
     assert!(String::from_utf8(output.stdout).unwrap().contains("steady changes"));
-    assert_eq!(records(&folder.read("out.jsonl")).len(), 1);
-    assert_eq!(folder.names(), ["out.jsonl", "small.toml"]);
+    assert_eq!(records(&directory.read("out.jsonl")).len(), 1);
+    assert_eq!(directory.names(), ["out.jsonl", "small.toml"]);
 }
