--- a/scale/src/instance/error.rs
+++ b/scale/src/instance/error.rs
@@ -17,7 +17,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// A forwarder exited without being told to.
+    /// A forwarder exited unexpectedly.
     #[error("a forwarder ended with {status}: {last_log_line}")]
     ForwarderExited {
         /// Its exit status.
