--- a/scale/src/discovery/settings.rs
+++ b/scale/src/discovery/settings.rs
@@ -1,4 +1,4 @@
-//! The scenario of `scale discovery`: its keys and their ranges.
+//! Scenario of `scale discovery`: its keys and their ranges.
 
 use crate::bounded_integer::BoundedInteger;
 use hatchline::discovery::DiscoveryMode;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// A number of simulated instances.
-pub(super) type InstanceCount = BoundedInteger<1, 100_000>;
-/// A span in seconds, perhaps none.
+/// A number of simulated replicas.
+pub(super) type ReplicaCount = BoundedInteger<1, 100_000>;
+/// A duration that may be zero.
 type Seconds = BoundedInteger<0, 86_400>;
-/// A span in seconds.
+/// A duration of at least a second.
 type PositiveSeconds = BoundedInteger<1, 86_400>;
-/// A short span in milliseconds.
+/// A duration that may be zero.
 type Milliseconds = BoundedInteger<0, 60_000>;
 
 /// A scenario file.
@@ -20,10 +20,11 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct DiscoveryScenario {
     pub seed: u64,
-    pub instances: Vec<InstanceCount>,
+    #[serde(rename = "instances")]
+    pub replicas: Vec<ReplicaCount>,
     pub listed: BoundedInteger<1, 1_000_000>,
     pub zones: BoundedInteger<1, 1_000>,
-    pub mode: ModeName,
+    pub mode: ModeSetting,
     pub network: NetworkSettings,
     pub server: ServerSettings,
     pub changes: ChangeSettings,
@@ -33,38 +34,40 @@
     pub silence: SilenceSettings,
 }
 
-/// How lists reach the instances.
+/// How lists reach the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum ModeName {
+pub(super) enum ModeSetting {
     Pushed,
     OnRequest,
 }
 
-impl ModeName {
-    /// The mode that the client is told.
-    pub fn to_client(self) -> DiscoveryMode {
+impl ModeSetting {
+    /// The mode in the form that the discovery client takes.
+    pub fn to_client_mode(self) -> DiscoveryMode {
         match self {
-            ModeName::Pushed => DiscoveryMode::Pushed,
-            ModeName::OnRequest => DiscoveryMode::OnRequest,
+            ModeSetting::Pushed => DiscoveryMode::Pushed,
+            ModeSetting::OnRequest => DiscoveryMode::OnRequest,
         }
     }
 }
 
-/// The network between the instances and discovery.
+/// The network between the replicas and discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct NetworkSettings {
     pub one_way_latency_ms: Milliseconds,
 }
 
-/// Limits of discovery.
+/// Limits and delays of discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ServerSettings {
     pub new_watches_per_second: BoundedInteger<1, 1_000_000>,
-    pub answers_at_once: BoundedInteger<1, 1_000_000>,
-    pub answer_ms: Milliseconds,
+    #[serde(rename = "answers_at_once")]
+    pub concurrent_responses: BoundedInteger<1, 1_000_000>,
+    #[serde(rename = "answer_ms")]
+    pub response_ms: Milliseconds,
     pub entry_us: BoundedInteger<0, 1_000_000>,
     pub history: BoundedInteger<0, 1_000_000>,
 }
@@ -77,7 +80,7 @@
     pub factor: BoundedInteger<1, 100_000>,
 }
 
-/// The parts of a run.
+/// Phases of a run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhaseSettings {
@@ -86,7 +89,7 @@
     pub settle_s: Seconds,
 }
 
-/// The restart of the fleet, part by part.
+/// Rolling restart of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RollingRestartSettings {
@@ -95,7 +98,7 @@
     pub down_ms: Milliseconds,
 }
 
-/// The outage of a zone.
+/// Outage of a zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ZoneOutageSettings {
@@ -103,7 +106,7 @@
     pub lasts_s: Spanned<PositiveSeconds>,
 }
 
-/// Silence of open watches, and of discovery.
+/// Watches without responses, and an outage of discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SilenceSettings {
@@ -112,12 +115,10 @@
     pub unreachable_s: Spanned<PositiveSeconds>,
 }
 
-/// A span of whole seconds.
-pub(super) fn seconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
-    Duration::from_secs(span.get())
+pub(super) fn seconds<const MIN: u64, const MAX: u64>(duration: BoundedInteger<MIN, MAX>) -> Duration {
+    Duration::from_secs(duration.get())
 }
 
-/// A span of whole milliseconds.
-pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(span: BoundedInteger<MIN, MAX>) -> Duration {
-    Duration::from_millis(span.get())
+pub(super) fn milliseconds<const MIN: u64, const MAX: u64>(duration: BoundedInteger<MIN, MAX>) -> Duration {
+    Duration::from_millis(duration.get())
 }
--- a/scale/src/instance/client.rs
+++ b/scale/src/instance/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a forwarder: messages handed in, and what operators ask.
+//! HTTP client of a forwarder: submits messages and reads metrics.
 
 use crate::instance::error::InstanceError;
 use bytes::Bytes;
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// The line of the forwarder's figures with the messages that are taken on and not yet over.
-const HELD_FIGURE: &str = "active=";
-/// The line with the endpoints that are listed.
-const LISTED_FIGURE: &str = "pool_size=";
+/// Prefix of the metrics line with the number of accepted messages that have not ended.
+const HELD_METRIC_PREFIX: &str = "active=";
+/// Prefix of the metrics line with the number of listed endpoints.
+const LISTED_METRIC_PREFIX: &str = "pool_size=";
 
-/// A message to be handed in.
+/// A message to submit.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub id: u64,
@@ -24,42 +24,39 @@
     pub body: Bytes,
 }
 
-/// What a forwarder said to a message.
+/// A forwarder's response to a submitted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Answer {
-    /// It was taken on.
-    TakenOn,
-    /// It may be handed in again.
-    TurnedAway,
+pub(super) enum SubmitResponse {
+    Accepted,
+    /// The client may submit the message again.
+    Refused,
 }
 
-/// What a forwarder tells operators.
+/// The metrics of a forwarder that the experiment uses.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ForwarderFigures {
+pub(super) struct ForwarderMetrics {
     pub held: u64,
     pub listed: u64,
 }
 
-/// A connection to a forwarder. It closes when this is dropped.
+/// A connection to a forwarder. Dropping it closes it.
 #[derive(Debug)]
 pub(super) struct Connection {
-    sender: SendRequest<Full<Bytes>>,
+    request_sender: SendRequest<Full<Bytes>>,
 }
 
 impl Connection {
-    /// Connects to a forwarder.
     pub async fn open(address: SocketAddr) -> Result<Connection, InstanceError> {
-        let connect = InstanceError::at("connecting to a forwarder");
+        let connect = InstanceError::during("connecting to a forwarder");
         let stream = TcpStream::connect(address).await.map_err(&connect)?;
         stream.set_nodelay(true).map_err(&connect)?;
-        let (sender, driver) = http1::handshake(TokioIo::new(stream)).await?;
-        // Errors reach the call that is out.
+        let (request_sender, driver) = http1::handshake(TokioIo::new(stream)).await?;
+        // A connection error surfaces in the request in flight.
         tokio::spawn(async move { drop(driver.await) });
-        Ok(Connection { sender })
+        Ok(Connection { request_sender })
     }
 
-    /// Hands a message in.
-    pub async fn hand_in(&mut self, message: &Message) -> Result<Answer, InstanceError> {
+    pub async fn submit(&mut self, message: &Message) -> Result<SubmitResponse, InstanceError> {
         let request = Request::post(format!("/{}", message.class))
             .header("Host", "backend.local")
             .header("X-Request-Id", format!("{:016x}", message.id))
@@ -67,33 +64,38 @@
             .header("X-Consignee", format!("dest={}", message.destination))
             .body(Full::new(message.body.clone()))
             .expect("the headers are valid");
-        match self.call(request).await? {
-            (StatusCode::OK | StatusCode::ACCEPTED, _) => Ok(Answer::TakenOn),
-            (StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _) => Ok(Answer::TurnedAway),
+        match self.send(request).await? {
+            (StatusCode::OK | StatusCode::ACCEPTED, _) => Ok(SubmitResponse::Accepted),
+            (StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _) => {
+                Ok(SubmitResponse::Refused)
+            }
             (other, _) => Err(InstanceError::UnexpectedStatus(other)),
         }
     }
 
-    async fn call(&mut self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes), InstanceError> {
-        self.sender.ready().await?;
-        let response = self.sender.send_request(request).await?;
+    async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes), InstanceError> {
+        self.request_sender.ready().await?;
+        let response = self.request_sender.send_request(request).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
         Ok((status, body))
     }
 }
 
-/// Whether a forwarder accepts clients.
+/// Whether a forwarder passes its health check.
 pub(super) async fn is_ready(listen: SocketAddr) -> bool {
     matches!(get(listen, "/healthz").await, Ok((StatusCode::OK, _)))
 }
 
-/// What a forwarder tells operators now.
-pub(super) async fn figures(admin: SocketAddr) -> Result<ForwarderFigures, InstanceError> {
+/// Reads a forwarder's metrics from its admin server.
+pub(super) async fn fetch_metrics(admin: SocketAddr) -> Result<ForwarderMetrics, InstanceError> {
     match get(admin, "/-/metrics").await? {
         (StatusCode::OK, body) => {
             let text = String::from_utf8_lossy(&body);
-            Ok(ForwarderFigures { held: figure(&text, HELD_FIGURE), listed: figure(&text, LISTED_FIGURE) })
+            Ok(ForwarderMetrics {
+                held: parse_metric(&text, HELD_METRIC_PREFIX),
+                listed: parse_metric(&text, LISTED_METRIC_PREFIX),
+            })
         }
         (other, _) => Err(InstanceError::UnexpectedStatus(other)),
     }
@@ -105,10 +107,10 @@
         .header("Connection", "close")
         .body(Full::default())
         .expect("the headers are valid");
-    Connection::open(address).await?.call(request).await
+    Connection::open(address).await?.send(request).await
 }
 
-fn figure(text: &str, name: &str) -> u64 {
-    let value = text.lines().find_map(|line| line.strip_prefix(name));
+fn parse_metric(text: &str, prefix: &str) -> u64 {
+    let value = text.lines().find_map(|line| line.strip_prefix(prefix));
     value.and_then(|number| number.parse().ok()).unwrap_or_default()
 }
--- a/scale/src/instance/error.rs
+++ b/scale/src/instance/error.rs
@@ -6,66 +6,66 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a run with forwarder processes failed. Each is displayed on one line.
+/// Why a run with forwarder processes failed. Each error is displayed on one line.
 #[derive(Debug, Error)]
 pub enum InstanceError {
-    /// The forwarder cannot be started, or a stand-in cannot listen.
-    #[error("{what}: {source}")]
+    /// An operating system call failed.
+    #[error("{operation}: {source}")]
     System {
-        /// What was tried.
-        what: &'static str,
-        /// The error of the system.
+        /// What was being done.
+        operation: &'static str,
+        /// The system's error.
         source: io::Error,
     },
-    /// A forwarder ended by itself.
-    #[error("a forwarder ended with {status}: {log}")]
-    Ended {
-        /// How it ended.
+    /// A forwarder exited unexpectedly.
+    #[error("a forwarder ended with {status}: {last_log_line}")]
+    ForwarderExited {
+        /// Its exit status.
         status: ExitStatus,
-        /// The last line of its log.
-        log: String,
+        /// The last line that it logged.
+        last_log_line: String,
     },
-    /// Something did not happen in time.
-    #[error("not within {patience:?}: {what}")]
+    /// A condition was not met in time.
+    #[error("timed out after {timeout:?} waiting until {condition}")]
     TimedOut {
-        /// What was waited for.
-        what: String,
-        /// How long.
-        patience: Duration,
+        /// The condition.
+        condition: String,
+        /// How long the run waited for it.
+        timeout: Duration,
     },
-    /// A call to a forwarder failed.
-    #[error("a call to a forwarder failed: {0}")]
-    Call(#[from] hyper::Error),
-    /// A request was answered otherwise than by the protocol.
-    #[error("a forwarder answered {0}")]
+    /// A request to a forwarder failed.
+    #[error("a request to a forwarder failed: {0}")]
+    Request(#[from] hyper::Error),
+    /// A forwarder responded with a status that the protocol does not allow.
+    #[error("a forwarder responded with an unexpected status: {0}")]
     UnexpectedStatus(hyper::StatusCode),
-    /// The forwarders turned requests away again and again.
-    #[error("{taken_on} of {total} requests were taken on")]
-    RequestsNotTaken {
-        /// Requests that were taken on.
-        taken_on: u64,
-        /// All requests of the batch.
+    /// A forwarder kept refusing requests.
+    #[error("only {accepted} of {total} requests were accepted")]
+    RequestsRefused {
+        /// Requests that the forwarders accepted.
+        accepted: u64,
+        /// All requests of the run.
         total: u64,
     },
-    /// A forwarder does not hold what it took on.
-    #[error("a forwarder holds {found} messages after its restart in place of {wanted}")]
-    NotHeld {
-        /// Messages that it took on.
-        wanted: u64,
-        /// Messages that it has.
-        found: u64,
+    /// A forwarder did not restore all messages that it had accepted.
+    #[error("a forwarder holds {actual} messages after its restart instead of {expected}")]
+    HeldCountMismatch {
+        /// Messages accepted before the restart.
+        expected: u64,
+        /// Messages held after the restart.
+        actual: u64,
     },
-    /// A figure of a process cannot be read.
-    #[error("a figure of a process cannot be read: {0}")]
-    Figure(#[from] ProcError),
+    /// The statistics of a process cannot be read.
+    #[error("the statistics of a process cannot be read: {0}")]
+    ProcessStatistics(#[from] ProcError),
     /// A task of this process panicked.
     #[error("a task failed: {0}")]
     Task(#[from] tokio::task::JoinError),
 }
 
 impl InstanceError {
-    /// For `map_err`: an error of the system at something that was tried.
-    pub(super) fn at(what: &'static str) -> impl Fn(io::Error) -> InstanceError {
-        move |source| InstanceError::System { what, source }
+    /// For `map_err`: converts a system error that occurred during `operation`.
+    pub(super) fn during(operation: &'static str) -> impl Fn(io::Error) -> InstanceError {
+        move |source| InstanceError::System { operation, source }
     }
 }
--- a/scale/src/instance/results.rs
+++ b/scale/src/instance/results.rs
@@ -1,4 +1,4 @@
-//! Results of the points: their summaries, tables and records.
+//! Results of the points: summaries, tables and records.
 
 use crate::instance::plan::{Point, Series};
 use crate::instance::run::RunMeasurement;
@@ -15,15 +15,15 @@
 const NANOS_PER_MICRO: f64 = 1e3;
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// A point, its runs, and why the forwarder does not take it, if so.
+/// A point with its runs, and the reason if the forwarder does not support a deployment of that size.
 #[derive(Clone, Debug)]
 pub(super) struct PointResult {
     pub point: Point,
     pub runs: Vec<RunMeasurement>,
-    pub not_taken: Option<String>,
+    pub unsupported_reason: Option<String>,
 }
 
-/// A record, with the binary that it is about.
+/// A record, with the binary that was measured.
 #[derive(Debug, Serialize)]
 pub(super) struct InstanceRecord<'a> {
     pub forwarder: &'a Path,
@@ -35,7 +35,6 @@
 #[derive(Debug, Serialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub(super) enum RecordBody {
-    /// A point that was measured.
     Point {
         #[serde(flatten)]
         point: Point,
@@ -43,13 +42,14 @@
         #[serde(flatten)]
         summary: PointSummary,
     },
-    /// A point that the forwarder does not take.
-    NotTaken {
+    /// A point that the forwarder does not support.
+    #[serde(rename = "not_taken")]
+    Unsupported {
         #[serde(flatten)]
         point: Point,
         reason: String,
     },
-    /// What one more of the size that grows along the series costs.
+    /// Cost of one more destination, message or process.
     Slope {
         series: Series,
         points: usize,
@@ -58,7 +58,7 @@
     },
 }
 
-/// Figures of a point over its runs.
+/// Measurements of a point, summarized over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct PointSummary {
     ready_milliseconds: SampleSummary,
@@ -68,7 +68,7 @@
     request_microseconds: SampleSummary,
 }
 
-/// Least-squares slopes of a series, over its runs.
+/// Least-squares slopes of a series, summarized over its runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Slopes {
     runs: usize,
@@ -80,43 +80,43 @@
 }
 
 impl PointResult {
-    /// A point without runs.
     pub fn new(point: Point) -> PointResult {
-        PointResult { point, runs: Vec::new(), not_taken: None }
+        PointResult { point, runs: Vec::new(), unsupported_reason: None }
     }
 
-    /// The line of output for a point that the forwarder does not take.
-    pub fn not_taken_line(&self) -> Option<String> {
+    /// The output line of a point that the forwarder does not support.
+    pub fn unsupported_line(&self) -> Option<String> {
         let Point { series, listed, held, processes, .. } = self.point;
-        let reason = self.not_taken.as_deref()?;
+        let reason = self.unsupported_reason.as_deref()?;
         Some(format!("not taken: by {series}: {listed} listed, {held} held, {processes} processes: {reason}"))
     }
 
-    /// The record of the point; none if there is no run.
+    /// The record of the point, or `None` if there is no run.
     pub fn record(&self) -> Option<RecordBody> {
         let point = self.point;
-        if let Some(reason) = self.not_taken.clone() {
-            return Some(RecordBody::NotTaken { point, reason });
+        if let Some(reason) = self.unsupported_reason.clone() {
+            return Some(RecordBody::Unsupported { point, reason });
         }
         Some(RecordBody::Point { point, runs: self.runs.len(), summary: self.summary()? })
     }
 
     fn summary(&self) -> Option<PointSummary> {
         Some(PointSummary {
-            ready_milliseconds: self.spread(|run| run.ready.as_secs_f64() * MILLIS_PER_SECOND)?,
-            list_milliseconds: self.spread(|run| run.listed.as_secs_f64() * MILLIS_PER_SECOND)?,
-            resident_bytes: self.spread(|run| run.resident_bytes)?,
-            idle_microseconds_per_second: self.spread(|run| run.idle_nanos / NANOS_PER_MICRO)?,
-            request_microseconds: self.spread(|run| run.request_nanos / NANOS_PER_MICRO)?,
+            ready_milliseconds: self.summarize(|run| run.time_to_ready.as_secs_f64() * MILLIS_PER_SECOND)?,
+            list_milliseconds: self.summarize(|run| run.time_to_list.as_secs_f64() * MILLIS_PER_SECOND)?,
+            resident_bytes: self.summarize(|run| run.resident_bytes)?,
+            idle_microseconds_per_second: self
+                .summarize(|run| run.idle_cpu_nanos_per_second / NANOS_PER_MICRO)?,
+            request_microseconds: self.summarize(|run| run.request_cpu_nanos / NANOS_PER_MICRO)?,
         })
     }
 
-    fn spread(&self, figure: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
-        SampleSummary::from_values(self.runs.iter().map(figure))
+    fn summarize(&self, metric: fn(&RunMeasurement) -> f64) -> Option<SampleSummary> {
+        SampleSummary::from_values(self.runs.iter().map(metric))
     }
 }
 
-/// The table of the points of a series; none if none was measured.
+/// The table of the points of a series, or `None` if none was measured.
 pub(super) fn point_table(results: &[&PointResult]) -> Option<String> {
     let header = [
         "listed",
@@ -134,7 +134,7 @@
 }
 
 fn point_row(result: &PointResult) -> Option<Vec<String>> {
-    if result.not_taken.is_some() {
+    if result.unsupported_reason.is_some() {
         return None;
     }
     let summary = result.summary()?;
@@ -151,31 +151,32 @@
     ])
 }
 
-/// The slopes of a series, over the points that were taken; none where runs are too few or its points do not differ.
+/// The slopes of a series over its supported points, or `None` if there are too few runs or all sizes are equal.
 pub(super) fn slopes(results: &[&PointResult]) -> Option<Slopes> {
-    let taken: Vec<_> = results.iter().copied().filter(|result| result.not_taken.is_none()).collect();
-    let runs = taken.iter().map(|result| result.runs.len()).min()?;
+    let supported: Vec<_> =
+        results.iter().copied().filter(|result| result.unsupported_reason.is_none()).collect();
+    let runs = supported.iter().map(|result| result.runs.len()).min()?;
     if runs < MIN_RUNS_FOR_SLOPES {
         return None;
     }
-    let slope = |figure: fn(&RunMeasurement) -> f64| {
+    let slope = |metric: fn(&RunMeasurement) -> f64| {
         let points = |run: usize| {
-            let of_run = taken.iter().map(|result| (result.point.size() as f64, figure(&result.runs[run])));
-            of_run.collect()
+            let samples =
+                supported.iter().map(|result| (result.point.size() as f64, metric(&result.runs[run])));
+            samples.collect()
         };
         slope_over_runs(runs, points)
     };
     Some(Slopes {
         runs,
-        ready_microseconds: slope(|run| micros(run.ready))?,
-        list_microseconds: slope(|run| micros(run.listed))?,
+        ready_microseconds: slope(|run| micros(run.time_to_ready))?,
+        list_microseconds: slope(|run| micros(run.time_to_list))?,
         resident_bytes: slope(|run| run.resident_bytes)?,
-        idle_nanoseconds_per_second: slope(|run| run.idle_nanos)?,
-        request_nanoseconds: slope(|run| run.request_nanos)?,
+        idle_nanoseconds_per_second: slope(|run| run.idle_cpu_nanos_per_second)?,
+        request_nanoseconds: slope(|run| run.request_cpu_nanos)?,
     })
 }
 
-/// The table of slopes.
 pub(super) fn slope_table(slopes: &[(Series, Slopes)]) -> String {
     let header = ["for each of the", "ready us", "list us", "resident bytes", "idle ns/s", "request ns"];
     let rows = slopes.iter().map(|(series, slopes)| {
