--- a/src/destinations.rs
+++ b/src/destinations.rs
@@ -1,62 +1,66 @@
-//! Destinations with what is queued for them, and indexes: which have something ready, and how long they wait.
+//! Active destinations with their queues of messages, and indexes of those that have messages to send.
 
 use crate::interface::*;
-use crate::state::Queue;
+use crate::state::QueueKey;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A destination and what is held for it.
+/// An active destination.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Destination {
+    /// Indices of its routes in the route table.
     pub routes: Vec<usize>,
-    /// Messages that are not over, or whose calls are out.
+    /// Number of messages that have not ended or have attempts in flight.
     pub held: u32,
-    /// Messages ready to go, oldest first. No queue is empty.
-    pub ready: BTreeMap<Queue, BTreeSet<(Micros, MessageId)>>,
+    /// Messages ready to be sent, oldest first. No queue is empty.
+    pub queues: BTreeMap<QueueKey, BTreeSet<(Micros, MessageId)>>,
 }
 
 impl Destination {
-    /// Messages that stand ready to go.
+    /// Number of messages ready to be sent.
     pub fn queued(&self) -> usize {
-        self.ready.values().map(BTreeSet::len).sum()
+        self.queues.values().map(BTreeSet::len).sum()
     }
 
-    /// Those of them that no restart found untried.
-    pub fn queued_since(&self) -> usize {
-        self.ready.iter().filter(|((.., found), _)| !found).map(|(_, set)| set.len()).sum()
+    /// Number of messages ready to be sent, without those restored unsent after a restart.
+    pub fn queued_without_restored(&self) -> usize {
+        self.queues
+            .iter()
+            .filter(|((.., restored_unsent), _)| !restored_unsent)
+            .map(|(_, messages)| messages.len())
+            .sum()
     }
 
-    /// Those that stand ready and that a restart found untried.
-    pub fn found(&self) -> Vec<MessageId> {
-        let found = self.ready.iter().filter(|((.., found), _)| *found);
-        found.flat_map(|(_, messages)| messages).map(|(_, id)| *id).collect()
+    /// Messages ready to be sent that were restored unsent after a restart.
+    pub fn restored_unsent(&self) -> Vec<MessageId> {
+        let restored = self.queues.iter().filter(|((.., restored_unsent), _)| *restored_unsent);
+        restored.flat_map(|(_, messages)| messages).map(|(_, id)| *id).collect()
     }
 }
 
-/// Active destinations in the order of their numbers, and which of them have something ready. A destination is active
-/// from its first message on, until it is idle and has nothing to remember.
+/// Active destinations by number, and indexes of those with messages ready to be sent. A destination is active from its
+/// first message on, until it is idle and has no state that must be kept.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Destinations {
     all: BTreeMap<DestinationId, Destination>,
     ready: BTreeSet<DestinationId>,
-    /// Those of them that may have something to send now. The others wait until a known time.
+    /// Those of them that may be able to send now. The others are blocked until a known time.
     #[serde(skip)]
     sendable: BTreeSet<DestinationId>,
-    /// Until when those that are ready and not sendable wait.
+    /// When those that are ready and not sendable are unblocked.
     #[serde(skip)]
-    waiting: BTreeMap<DestinationId, Micros>,
+    blocked_until: BTreeMap<DestinationId, Micros>,
     /// The same in the order of time.
     #[serde(skip)]
-    wakes: BTreeSet<(Micros, DestinationId)>,
+    unblock_times: BTreeSet<(Micros, DestinationId)>,
 }
 
 impl Destinations {
-    /// A destination that is known.
     pub fn get(&self, id: DestinationId) -> Option<&Destination> {
         self.all.get(&id)
     }
 
-    /// A destination, made if it is not known.
+    /// A destination, created if it is not known.
     pub fn entry(&mut self, id: DestinationId) -> &mut Destination {
         self.all.entry(id).or_default()
     }
@@ -66,82 +70,82 @@
         self.all.iter().map(|(id, destination)| (*id, destination))
     }
 
-    /// Takes a destination out.
     pub fn remove(&mut self, id: DestinationId) -> Destination {
         self.remove_ready(id);
         self.all.remove(&id).unwrap_or_default()
     }
 
-    /// Those that have something ready, in the order of their numbers.
+    /// Those that have messages ready to be sent, in the order of their numbers.
     pub fn ready(&self) -> impl Iterator<Item = (DestinationId, &Destination)> {
         self.ready.iter().map(|id| (*id, &self.all[id]))
     }
 
-    /// Puts a message into a queue of its destination, by the time it was born.
-    pub fn enqueue(&mut self, id: DestinationId, queue: Queue, message: (Micros, MessageId)) {
+    /// Adds a message to a queue of its destination, in the order of creation.
+    pub fn enqueue(&mut self, id: DestinationId, queue: QueueKey, message: (Micros, MessageId)) {
         let destination = self.all.entry(id).or_default();
-        if destination.ready.is_empty() {
+        if destination.queues.is_empty() {
             self.ready.insert(id);
             self.sendable.insert(id);
         }
-        destination.ready.entry(queue).or_default().insert(message);
+        destination.queues.entry(queue).or_default().insert(message);
     }
 
-    /// Takes a message out of a queue of its destination.
-    pub fn dequeue(&mut self, id: DestinationId, queue: Queue, message: (Micros, MessageId)) {
+    /// Removes a message from a queue of its destination.
+    pub fn dequeue(&mut self, id: DestinationId, queue: QueueKey, message: (Micros, MessageId)) {
         let Some(destination) = self.all.get_mut(&id) else { return };
-        let Some(messages) = destination.ready.get_mut(&queue) else { return };
+        let Some(messages) = destination.queues.get_mut(&queue) else { return };
         messages.remove(&message);
         if messages.is_empty() {
-            destination.ready.remove(&queue);
+            destination.queues.remove(&queue);
         }
-        if destination.ready.is_empty() {
+        if destination.queues.is_empty() {
             self.remove_ready(id);
         }
     }
 
     fn remove_ready(&mut self, id: DestinationId) {
-        self.forget_wait(id);
+        self.unblock(id);
         self.ready.remove(&id);
         self.sendable.remove(&id);
     }
 
-    /// Those that have something ready and do not wait, in the order of their numbers.
+    /// Those that are ready and not blocked, in the order of their numbers.
     pub fn sendable(&self) -> impl Iterator<Item = DestinationId> + '_ {
         self.sendable.iter().copied()
     }
 
-    /// Notes that a destination with something ready sends nothing before `until`, or its wait is forgotten.
-    pub fn wait(&mut self, id: DestinationId, until: Micros) {
-        self.forget_wait(id);
+    /// Records that a destination sends nothing before `until`, unless it is unblocked earlier.
+    pub fn block(&mut self, id: DestinationId, until: Micros) {
+        self.unblock(id);
         if self.sendable.remove(&id) {
-            self.waiting.insert(id, until);
-            self.wakes.insert((until, id));
+            self.blocked_until.insert(id, until);
+            self.unblock_times.insert((until, id));
         }
     }
 
-    /// Makes a destination that waits sendable again. Call it whenever the time when it opens may change.
-    pub fn forget_wait(&mut self, id: DestinationId) {
-        if let Some(until) = self.waiting.remove(&id) {
-            self.wakes.remove(&(until, id));
+    /// Makes a blocked destination sendable again. Must be called whenever the time until which it is blocked may have
+    /// changed.
+    pub fn unblock(&mut self, id: DestinationId) {
+        if let Some(until) = self.blocked_until.remove(&id) {
+            self.unblock_times.remove(&(until, id));
             self.sendable.insert(id);
         }
     }
 
-    /// Makes all destinations that have something ready sendable.
-    pub fn forget_waits(&mut self) {
-        self.waiting.clear();
-        self.wakes.clear();
+    /// Makes all destinations sendable that have messages ready.
+    pub fn unblock_all(&mut self) {
+        self.blocked_until.clear();
+        self.unblock_times.clear();
         self.sendable.clone_from(&self.ready);
     }
 
-    /// Makes destinations sendable whose waits are over. Gives the end of the first wait that is not.
-    pub fn end_waits(&mut self, now: Micros) -> Option<Micros> {
-        while let Some((until, id)) = self.wakes.first().copied() {
+    /// Unblocks the destinations whose time has come. Returns the time of the next one, if any.
+    pub fn unblock_due(&mut self, now: Micros) -> Option<Micros> {
+        while let Some((until, id)) = self.unblock_times.first().copied() {
             if until > now {
                 return Some(until);
             }
-            self.forget_wait(id);
+            self.unblock(id);
         }
         None
     }
--- a/src/endpoint_counts.rs
+++ b/src/endpoint_counts.rs
@@ -1,28 +1,27 @@
-//! What operators see of the endpoints.
+//! Counts of endpoints and routes that operators see.
 
 use crate::interface::*;
 use crate::policy::DeliveryPolicy;
 
 impl DeliveryPolicy {
-    /// Listed endpoints, and those of them that get no call at present: by hand, or since they or their
-    /// destination look out.
+    /// Counts the listed endpoints, and those of them that get no calls at present: disabled by an operator, ejected
+    /// after a failure, or behind an open circuit breaker.
     pub fn endpoint_counts(&self) -> EndpointCounts {
-        let by_hand = self.excluded.iter().filter(|id| self.is_listed(**id)).count();
-        let listed = self.targets.iter().filter(|(_, t)| t.state != EndpointState::Removed);
-        let by_choice = listed.filter(|(id, t)| {
-            let looks_out = self.routes[t.route].breaker.is_open() || t.avoid_until > self.now;
-            looks_out && !self.excluded.contains(id)
+        let disabled = self.disabled.iter().filter(|id| self.is_listed(**id)).count();
+        let listed = self.targets.iter().filter(|(_, target)| target.state != EndpointState::Removed);
+        let ejected = listed.filter(|(id, target)| {
+            let is_avoided = self.routes[target.route].breaker.is_open() || target.ejected_until > self.now;
+            is_avoided && !self.disabled.contains(id)
         });
-        EndpointCounts { listed: self.listing.listed(), ejected: by_hand + by_choice.count() }
+        EndpointCounts { listed: self.listing.listed_count(), ejected: disabled + ejected.count() }
     }
 
     /// Whether the list has this endpoint.
     pub fn is_listed(&self, target: TargetId) -> bool {
-        self.listing.lists(target)
+        self.listing.is_listed(target)
     }
 
-    /// Routes that have state of their own at present: those of destinations with messages, or with something to
-    /// remember.
+    /// Number of routes that have state at present: those of destinations that hold messages or have state to keep.
     pub fn active_route_count(&self) -> usize {
         self.routes.len()
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -155,7 +155,7 @@
 
 impl Settings {
     /// The shortest aim of all classes, in microseconds.
-    pub(crate) fn least_aim(&self) -> f64 {
+    pub(crate) fn shortest_aim(&self) -> f64 {
         self.classes.iter().map(|class| class.aim).min().unwrap_or(DEFAULT_AIM) as f64
     }
 
@@ -170,12 +170,12 @@
     }
 
     /// What a message of the class of most worth earns.
-    pub(crate) fn most_worth(&self) -> f64 {
+    pub(crate) fn max_worth(&self) -> f64 {
         self.classes.iter().map(|class| class.worth).fold(0.0, f64::max)
     }
 
     /// What a message of a class earns if it is delivered at this age, in microseconds.
-    pub(crate) fn value(&self, class: usize, age: f64) -> f64 {
+    pub(crate) fn worth_at_age(&self, class: usize, age: f64) -> f64 {
         let class = &self.classes[class];
         let (aim, deadline) = (class.aim as f64, class.deadline as f64);
         let share = match self.decay {
--- a/src/policy/disabled_endpoints.rs
+++ b/src/policy/disabled_endpoints.rs
@@ -1,34 +1,40 @@
-//! Endpoints that operators take out by hand and put back: part of the decisions.
+//! Endpoints that operators disable and enable again, and whether an endpoint accepts calls.
 
 use super::*;
 
 impl DeliveryPolicy {
-    /// What operators say stands beside the list: no change of the list undoes it. Connections from before
-    /// are not used again: the endpoint's process may be another by then.
-    pub(crate) fn by_hand(&mut self, target: TargetId, out: bool) {
-        if !out && self.excluded.remove(&target) {
-            // It may have been started anew meanwhile: that is remembered, message or not.
+    /// Disables or enables an endpoint. This is independent of the list: no change of the list enables an endpoint that
+    /// an operator has disabled. Connections made before are not used again, since the endpoint may be another process
+    /// by then.
+    pub(crate) fn set_disabled(&mut self, target: TargetId, disabled: bool) {
+        if !disabled && self.disabled.remove(&target) {
+            // Its process may have been restarted meanwhile. That is recorded even if no message is held for it.
             self.activate_destination_of(target);
-            self.targets.entry(target).and_modify(|t| (t.cold, t.avoid_until) = (Some(self.now), 0));
+            self.targets
+                .entry(target)
+                .and_modify(|endpoint| (endpoint.cold_since, endpoint.ejected_until) = (Some(self.now), 0));
         }
-        if out {
-            self.excluded.insert(target);
+        if disabled {
+            self.disabled.insert(target);
         }
-        self.out.push(Action::CloseIdle { target });
+        self.actions.push(Action::CloseIdle { target });
     }
 
-    /// Whether an endpoint may get a call, all but its health considered. Guards one that is back and may be
-    /// cold against this replica's part of what would push it over, as the slow start does for a destination:
-    /// one call at a time, spaced by the part of it that falls to one endpoint. Harms one that was warm.
-    pub(crate) fn takes_calls(&self, id: TargetId, t: &Target) -> bool {
-        if t.state != EndpointState::Ready || self.excluded.contains(&id) {
+    /// Whether an endpoint may get a call, apart from its health. One that was enabled and may be cold gets one call at
+    /// a time, spaced by its part of the load that this replica may send without overloading it, as in the slow start
+    /// of a destination. The cost: one that was warm gets few calls at first.
+    pub(crate) fn accepts_calls(&self, id: TargetId, endpoint: &Target) -> bool {
+        if endpoint.state != EndpointState::Ready || self.disabled.contains(&id) {
             return false;
         }
-        let ramp = self.settings.contract.ramp_time;
-        let Some(since) = t.cold.filter(|since| self.now < since + ramp) else { return true };
-        let l = &self.routes[t.route];
-        let rate = self.cold_rate(t.route, since) / l.targets.len().max(1) as f64;
-        let rested = self.now.saturating_sub(t.last_used.max(since)) as f64 * rate >= SECOND;
-        rested && l.calls.values().all(|c| c.target != id)
+        let ramp_time = self.settings.contract.ramp_time;
+        let Some(since) = endpoint.cold_since.filter(|since| self.now < since + ramp_time) else {
+            return true;
+        };
+        let route = &self.routes[endpoint.route];
+        let rate = self.cold_rate(endpoint.route, since) / route.targets.len().max(1) as f64;
+        let has_paused =
+            self.now.saturating_sub(endpoint.last_used_at.max(since)) as f64 * rate >= MICROS_PER_SECOND;
+        has_paused && route.calls.values().all(|call| call.target != id)
     }
 }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,52 +1,53 @@
-//! Endpoints that discovery lists: taken in, drained and removed.
+//! Changes of the endpoint list: endpoints added, drained and removed.
 
 use super::*;
 
 impl DeliveryPolicy {
-    /// A full list removes what it lacks; a cached one is only a start. One of a lower version is late, or
-    /// from another discovery that counts anew: what it drains or lacks gets no call, but it revives nothing.
-    pub(super) fn list(&mut self, kind: ListKind, version: u32, lines: Vec<Endpoint>) {
+    /// Applies an update of the list. A full list removes the endpoints that it lacks; a cached one is only a start. One
+    /// of a lower version is late, or comes from another discovery service that counts anew: endpoints that it drains
+    /// or lacks get no calls, but it brings none back.
+    pub(super) fn apply_list(&mut self, kind: ListKind, version: u32, entries: Vec<Endpoint>) {
         if (kind == ListKind::Cached && self.settings.subscribe_to_discovery) || kind == ListKind::Failed {
-            self.out.push(Action::Subscribe { on: true });
+            self.actions.push(Action::Subscribe { on: true });
         }
         if kind == ListKind::Failed {
             return;
         }
-        let late = version < self.list_version;
+        let is_late = version < self.list_version;
         self.list_version = self.list_version.max(version);
         if kind == ListKind::Full {
-            let missing = self.listing.missing_in(&lines);
+            let missing = self.listing.missing_in(&entries);
             missing.into_iter().for_each(|id| self.set_state(id, EndpointState::Removed));
         }
-        lines.into_iter().for_each(|line| self.list_line(line, late));
+        entries.into_iter().for_each(|entry| self.apply_list_entry(entry, is_late));
     }
 
-    fn list_line(&mut self, mut line: Endpoint, late: bool) {
-        let phase = self.random.next();
-        let id = line.target;
+    fn apply_list_entry(&mut self, mut entry: Endpoint, is_late: bool) {
+        let initial_tokens = self.random.next();
+        let id = entry.target;
         if self.settings.listed_rate == ListedRate::Unknown {
-            line.rate = 0.0;
+            entry.rate = 0.0;
         }
         let Some(known) = self.listing.get(id) else {
-            if late && self.listing.has_forgotten(id) {
+            if is_late && self.listing.has_forgotten(id) {
                 return;
             }
-            self.listing.add(&line, phase, self.now);
-            if self.destinations.get(line.destination).is_some() {
+            self.listing.add(&entry, initial_tokens, self.now);
+            if self.destinations.get(entry.destination).is_some() {
                 self.activate_endpoint(id);
-                self.call_for_what_was_found(line.destination, id);
+                self.reserve_calls_for_restored(entry.destination, id);
             }
             return;
         };
-        let state = if late { line.state.max(known.state) } else { line.state };
+        let state = if is_late { entry.state.max(known.state) } else { entry.state };
         self.set_state(id, state);
-        self.set_listed_rate(id, line.rate);
+        self.set_listed_rate(id, entry.rate);
     }
 
-    fn call_for_what_was_found(&mut self, destination: DestinationId, target: TargetId) {
-        let found = self.destinations.get(destination).map(|d| d.found());
-        for id in found.unwrap_or_default() {
-            self.call_in_time(self.targets[&target].route, self.messages[&id].expires);
+    fn reserve_calls_for_restored(&mut self, destination: DestinationId, target: TargetId) {
+        let restored = self.destinations.get(destination).map(|destination| destination.restored_unsent());
+        for id in restored.unwrap_or_default() {
+            self.reserve_call_before(self.targets[&target].route, self.messages[&id].expires);
         }
     }
 }
--- a/src/policy/idleness.rs
+++ b/src/policy/idleness.rs
@@ -1,69 +1,82 @@
-//! What is forgotten of destinations that are idle and of endpoints that are gone, and what outlives that.
+//! Which state of idle destinations and removed endpoints may be dropped, and which must be kept.
 
-use super::rates::exceeds_need;
+use super::rates::exceeds_request_rate;
 use super::*;
 
-/// Part of the even part of a known limit from which a rate limit that refusals have cut counts as recovered.
-const RATE_RECOVERED: f64 = 0.95;
+/// Share of the equal share of a known limit from which a rate limit that rejections have cut counts as recovered.
+const RECOVERED_RATE_LIMIT_SHARE: f64 = 0.95;
 
 impl DeliveryPolicy {
-    /// Whether the state of a destination is dropped: nothing is held for it, and it has nothing to remember.
-    /// The next message makes it anew, as at the listing. What operators exclude and what drains stands in
-    /// the exclusions and in the listing, and stays.
-    pub(crate) fn is_idle(&self, d: &Destination) -> bool {
-        d.held == 0 && d.routes.iter().all(|route| !self.remembers(*route))
+    /// Whether the state of a destination may be dropped: it holds no message and has no state that must be kept. The
+    /// next message creates its state anew, as at the listing. Disabled and draining endpoints are recorded in
+    /// `disabled` and in the listing, and are not affected.
+    pub(crate) fn is_idle(&self, destination: &Destination) -> bool {
+        destination.held == 0
+            && destination.routes.iter().all(|route_index| !self.must_keep_route(*route_index))
     }
 
-    /// Whether a route has to outlive idleness, by its own state or that of its endpoints.
-    fn remembers(&self, route: usize) -> bool {
-        let l = &self.routes[route];
-        // Calls that are out end here, and told waits bind whatever comes later, also other endpoints.
-        let bound = !l.calls.is_empty() || l.wait_until > self.now;
-        // What has no endpoint left is out of the list: the rest was said of endpoints that are gone.
-        bound
-            || !l.targets.is_empty() && (self.is_in_trouble(route) || has_learned(l))
-            || l.targets.iter().any(|id| self.remembers_endpoint(&self.targets[id]))
+    /// Whether the state of a route must be kept, because of its own state or that of its endpoints.
+    fn must_keep_route(&self, route_index: usize) -> bool {
+        let route = &self.routes[route_index];
+        // Calls in flight end here, and a wait that the destination asked for also binds endpoints listed later.
+        let is_bound = !route.calls.is_empty() || route.paused_until > self.now;
+        // A route without endpoints is out of the list: its other state describes endpoints that were removed.
+        is_bound
+            || !route.targets.is_empty() && (self.is_degraded(route_index) || has_learned(route))
+            || route.targets.iter().any(|id| self.must_keep_endpoint(&self.targets[id]))
     }
 
-    fn is_in_trouble(&self, route: usize) -> bool {
-        let l = &self.routes[route];
-        // An open breaker and a slow start (to the end of the ramp): all that replicas held would push over
-        // what is out or cold, if each began anew.
-        l.breaker != CircuitBreaker::Closed
-            // The age of a trouble spaces what is tried, and unsafe messages stay away from what fails.
-            || l.trouble.is_some()
-            || l.failing > LOSSY
-            // Refusals cut it: to begin at the even part of a known limit, or with none, would be refused.
-            || l.rate_limit > 0.0 && l.rate_limit < RATE_RECOVERED * l.even_share(self.settings.replicas)
-                && !(l.limit <= 0.0 && exceeds_need(l.rate_limit, self.own_rate(route)))
+    fn is_degraded(&self, route_index: usize) -> bool {
+        let route = &self.routes[route_index];
+        // An open breaker and a slow start up to the end of its ramp: if each replica started anew, all messages held
+        // by the fleet would overload a destination that is out or cold.
+        route.breaker != CircuitBreaker::Closed
+            // The age of an incident spaces the probes, and unsafe messages avoid routes that fail.
+            || route.incident_since.is_some()
+            || route.failure_share > LOSSY_FAILURE_SHARE
+            // Rejections have cut the rate limit: a start at the equal share of a known limit, or with no rate limit,
+            // would be rejected again.
+            || route.rate_limit > 0.0
+                && route.rate_limit
+                    < RECOVERED_RATE_LIMIT_SHARE * route.equal_share(self.settings.replicas)
+                && !(route.known_limit <= 0.0
+                    && exceeds_request_rate(route.rate_limit, self.request_rate(route_index)))
     }
 
-    fn remembers_endpoint(&self, t: &Target) -> bool {
-        // Put back by hand it may be cold until its ramp is over.
-        let ramps = t.cold.is_some_and(|since| self.now < since + self.settings.contract.ramp_time);
-        // It failed, denied a connection or was full of them, lately.
-        let avoided = t.avoid_until.max(t.denied_until).max(t.away_until) > self.now || t.to_close > 0;
-        // Connections may be open from its last call, and how long they rested counts.
-        let connected = t.last_used.max(t.ended) + self.settings.connection_idle_timeout > self.now;
-        ramps || avoided || connected
+    fn must_keep_endpoint(&self, endpoint: &Target) -> bool {
+        // After an operator has enabled it, it may be cold until the end of its ramp.
+        let is_ramping =
+            endpoint.cold_since.is_some_and(|since| self.now < since + self.settings.contract.ramp_time);
+        // It has recently failed, failed to connect, or rejected a connection.
+        let is_avoided =
+            endpoint.ejected_until.max(endpoint.table_full_until).max(endpoint.next_connection_at) > self.now
+                || endpoint.close_after_use > 0;
+        // Connections may be open since its last call, and their idle time counts.
+        let is_connected = endpoint.last_used_at.max(endpoint.last_result_at)
+            + self.settings.connection_idle_timeout
+            > self.now;
+        is_ramping || is_avoided || is_connected
     }
 
-    /// How long endpoints are remembered once they are gone: longer than any call, drain or ramp lasts.
-    pub(crate) fn gone_grace(&self) -> Micros {
-        let rules = &self.settings.contract;
-        rules.drain_grace.max(rules.ramp_time).max(self.settings.longest_deadline() as Micros)
+    /// How long removed endpoints are remembered: longer than any call, drain or ramp lasts.
+    pub(crate) fn removed_retention(&self) -> Micros {
+        let contract = &self.settings.contract;
+        contract.drain_grace.max(contract.ramp_time).max(self.settings.longest_deadline() as Micros)
     }
 
-    /// Whether nothing of an endpoint that is gone for so long matters still: it has no call out, and no wait
-    /// was told that binds its route. Its name stays: a list of a lower version does not revive it.
+    /// Whether an endpoint that was removed that long ago may be forgotten: it has no call in flight, and its destination
+    /// has asked for no wait that still binds its route. Its number is kept: a list of a lower version does not bring it
+    /// back.
     pub(crate) fn may_forget(&self, id: TargetId) -> bool {
-        let Some(l) = self.targets.get(&id).map(|t| &self.routes[t.route]) else { return true };
-        l.wait_until <= self.now && l.calls.values().all(|c| c.target != id)
+        let Some(route) = self.targets.get(&id).map(|endpoint| &self.routes[endpoint.route]) else {
+            return true;
+        };
+        route.paused_until <= self.now && route.calls.values().all(|call| call.target != id)
     }
 }
 
-/// Answer times, and the rate of requests, until too little is left of them to count. They fade by half with
-/// each longest deadline: it takes five of these after one answer, ten after fifty.
-fn has_learned(l: &Route) -> bool {
-    !l.times.has_faded() || l.recent_requests > FADED
+/// Whether the response times or the request rate of a route still have weight. They decay by half with each longest
+/// deadline: after one response this takes five of these spans, after fifty responses ten.
+fn has_learned(route: &Route) -> bool {
+    !route.response_times.has_faded() || route.recent_requests > FADED_WEIGHT
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,13 +1,15 @@
-//! All decisions of the delivery service. Settings, events and actions: `src/interface.rs`.
-//! Per destination: a bucketed histogram of answer times and a count of attempts without an answer give
-//! the time-out and resend point τ of least expected completion time (see [`AnswerTimes`]). Around that
-//! stand a window of calls in flight, a circuit breaker for what looks out, and a rate limit under limits.
+//! The delivery policy: all decisions on what is sent, where and when. `src/interface.rs` defines its settings, events
+//! and actions.
+//!
+//! For each route, a histogram of response times and a count of calls without a response give the retry timeout τ of
+//! least expected completion time (see [`ResponseTimes`]). The calls of a route are bounded by a window of calls in
+//! flight, by a circuit breaker and, where the destination has a limit, by a rate limit.
 
 use crate::destinations::{Destination, Destinations};
 use crate::interface::*;
 use crate::listing::Listing;
 use crate::random::Random;
-use crate::response_time_histogram::{AnswerHistogram, BUCKETS, FADED};
+use crate::response_time_histogram::{ResponseTimeHistogram, BUCKETS, FADED_WEIGHT};
 use crate::route_table::RouteTable;
 use crate::state::*;
 use serde::{Deserialize, Serialize};
@@ -25,235 +27,294 @@
 mod timeouts;
 
 pub use state_transfer::FORMAT;
-pub(crate) use timeouts::AnswerTimes;
+pub(crate) use timeouts::ResponseTimes;
 
-/// Answers before τ is trusted; planned resends in a row without an answer that mean τ is too low.
-const WARM_UP: u32 = 20;
-const TAU_RUN: u32 = 3;
-/// τ is stretched by up to this part at random, so that replicas with one τ do not resend together.
+/// Responses of a route before its retry timeout τ is chosen.
+const MIN_RESPONSES_FOR_TAU: u32 = 20;
+/// Calls in a row that time out at τ before it doubles.
+const TIMEOUTS_TO_DOUBLE_TAU: u32 = 3;
+/// τ is lengthened at random by up to this share, so that replicas with the same τ do not retry at the same time.
 const TAU_JITTER: f64 = 0.25;
-/// Resends that each answer pays for, and how many may be saved up.
-const RESEND_SHARE: f64 = 0.2;
-pub(crate) const RESEND_SAVED: f64 = 5.0;
-/// Part of the slots that calls to one destination may take; half while it is failing.
-const DESTINATION_SHARE: f64 = 0.75;
-/// Span of the maintenance timer, and microseconds in a second.
-const MAINTENANCE_INTERVAL: Micros = 100_000;
-pub(crate) const SECOND: f64 = 1e6;
-/// Weight of one outcome in the smoothed share of failures; above the bounds a destination is lossy
-/// (unsafe messages wait) or out (single half-open probes): three failures in a row, or more than half.
-const FAIL_WEIGHT: f64 = 0.22;
-const LOSSY: f64 = 0.2;
-const MOSTLY_FAILING: f64 = 0.5;
-/// To what a refusal cuts the rate limit; parts by which a served call, at most, and maintenance raise it.
-const RATE_CUT: f64 = 0.7;
-const RATE_RAISE: f64 = 0.08;
-const RATE_DRIFT: f64 = 0.005;
-/// Part of what a rate limit lacks of the even part of a known limit that each served call gives back.
-const RATE_RECOVERY: f64 = 0.1;
-/// Part of its even part of a known limit that refusals leave a replica: all at this floor stay within it.
-const RATE_FLOOR: f64 = 0.5;
-/// Weight that the rate of served calls keeps over a span of maintenance.
-const RATE_KEEP: f64 = 0.95;
-/// The span in seconds that the rate of served calls stands for.
-const RATE_SPAN: f64 = MAINTENANCE_INTERVAL as f64 / SECOND / (1.0 - RATE_KEEP);
-/// Part of the time left to what a restart found by which a call for it is saved up; the rest is the call's.
-const FOUND_WITHIN: f64 = 0.75;
-/// Part of what all classes are served that is each one's before worth counts.
-const LEAST_SERVED: f64 = 0.6;
-/// Part of the room for held messages that is kept free.
-const KEEP_FREE: f64 = 0.05;
-/// Unanswered call time, in mean answer times, that makes silence unlikely to be chance.
-const SILENCE_MEANS: f64 = 12.0;
-/// Calls of all replicas in the tip time which do no harm, by the terms; least capacity of a destination in
-/// calls a second; spans of a trouble so far between two probes, of four replicas and of many: these come to
-/// know of it one after the other, try in step with its age, and add up to four times what one span has.
-const SLACK: f64 = 2.0;
-const LEAST_TOGETHER: f64 = 2.5;
-const TROUBLE_SPANS: f64 = 3.0;
-const MOST_TROUBLE_SPANS: f64 = 8.5;
-/// Factors on the learned pause when a retry after a refusal is served, and when it is refused again.
-const SPREAD_DOWN: f64 = 0.8;
-const SPREAD_UP: f64 = 1.5;
-/// What each half-open probe of a destination that looks out multiplies the span to the next by.
-const PROBE_BACKOFF: f64 = 1.3;
-/// Connections in a row that are closed after use once one was turned away from a full table: where calls
-/// alone take up most of it, one in some tens meets it full.
-const CLOSED_AFTER_CROWD: u32 = 32;
-/// Connections that an endpoint is sure to take: while each replica has its even part, those that rest
-/// harm nobody.
-const EVEN_PLACES: f64 = 16.0;
-/// Part of the multiple that would push a cold destination over which all replicas together may use.
-const RAMP_CAUTION: f64 = 0.6;
+/// Retries that each response adds to the retry budget of a route.
+const RETRY_BUDGET_PER_RESPONSE: f64 = 0.2;
+pub(crate) const MAX_RETRY_BUDGET: f64 = 5.0;
+/// Share of the slots that calls to one destination may take; half of the slots while its calls fail.
+const MAX_SLOT_SHARE: f64 = 0.75;
+const MAINTENANCE_INTERVAL_MICROS: Micros = 100_000;
+pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
+/// Weight of one outcome in the smoothed share of failures.
+const OUTCOME_WEIGHT: f64 = 0.22;
+/// Share of failures above which a route is lossy: unsafe messages wait.
+const LOSSY_FAILURE_SHARE: f64 = 0.2;
+/// Share of failures above which the circuit breaker opens: three failures in a row, or more than half of the calls.
+const OPEN_FAILURE_SHARE: f64 = 0.5;
+/// Factor by which a rejection cuts the rate limit.
+const RATE_LIMIT_CUT: f64 = 0.7;
+/// Share by which a served call raises the rate limit at most.
+const MAX_RATE_LIMIT_RAISE: f64 = 0.08;
+/// Share by which each round of maintenance raises the rate limit where the destination's limit is not known.
+const RATE_LIMIT_DRIFT: f64 = 0.005;
+/// Share of what a rate limit lacks of the replica's equal share of a known limit that each served call restores.
+const RATE_LIMIT_RECOVERY: f64 = 0.1;
+/// Share of its equal share of a known limit that rejections leave a replica. When all replicas are at this floor, they
+/// stay within the limit.
+const RATE_LIMIT_FLOOR: f64 = 0.5;
+/// Factor by which the rate of served calls decays in each round of maintenance.
+const SERVED_RATE_DECAY: f64 = 0.95;
+/// Span that the rate of served calls averages over.
+const SERVED_RATE_SPAN_SECONDS: f64 =
+    MAINTENANCE_INTERVAL_MICROS as f64 / MICROS_PER_SECOND / (1.0 - SERVED_RATE_DECAY);
+/// Share of the remaining time of a restored message by which the rate limit has a token for its call; the rest of the
+/// time is left for the call.
+const RESTORED_CALL_WITHIN_SHARE: f64 = 0.75;
+/// Share of the delivery ratio of all classes that each class gets before worth decides.
+const MIN_CLASS_DELIVERY_SHARE: f64 = 0.6;
+/// Share of the room for held messages that is kept free.
+const FREE_MESSAGE_SHARE: f64 = 0.05;
+/// Time that calls have waited in sum for a response, in mean response times, from which silence is unlikely to be
+/// chance.
+const SILENCE_MEAN_RESPONSE_TIMES: f64 = 12.0;
+/// Calls of all replicas within the overload duration of the contract that do a cold destination no harm.
+const SAFE_CALLS_IN_OVERLOAD_DURATION: f64 = 2.0;
+/// Least capacity of a destination.
+const MIN_CAPACITY_CALLS_PER_SECOND: f64 = 2.5;
+/// Interval between two probes as a multiple of the incident's age, for four replicas and, at most, for a large fleet.
+/// Many replicas notice an incident one after the other and probe in step with its age, which adds up to four times
+/// the probes of one span.
+const PROBE_INTERVAL_INCIDENT_AGES: f64 = 3.0;
+const MAX_PROBE_INTERVAL_INCIDENT_AGES: f64 = 8.5;
+/// Factor on the spread of the pauses after rejections when the call after a pause is served.
+const PAUSE_SPREAD_DECREASE: f64 = 0.8;
+/// Factor on the spread of the pauses after rejections when the call after a pause is rejected again.
+const PAUSE_SPREAD_INCREASE: f64 = 1.5;
+/// Factor by which each half-open probe lengthens the backoff to the next.
+const PROBE_BACKOFF_FACTOR: f64 = 1.3;
+/// Connections in a row that are closed after use once an endpoint has rejected one because its connection table was
+/// full: where the calls alone fill most of the table, one connection in a few dozen is rejected.
+const CLOSE_AFTER_USE_COUNT: u32 = 32;
+/// Connections that any endpoint is assumed to accept: idle ones do no harm while each replica keeps to its equal share
+/// of them.
+const MIN_ENDPOINT_CONNECTIONS: f64 = 16.0;
+/// Share of the load that would overload a cold destination that all replicas together may send.
+const RAMP_SAFETY_SHARE: f64 = 0.6;
 
-/// The decisions of one forwarder.
-#[rustfmt::skip] // fields stand by topic
+/// The delivery policy of one forwarder.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct DeliveryPolicy {
-    #[serde(skip)] pub(crate) settings: Settings,
-    #[serde(skip)] pub(crate) out: Vec<Action>,
-    /// How late what is decided may be carried out: a message's time is over so much earlier.
-    #[serde(skip)] late: Micros,
-    pub(crate) now: Micros, random: Random,
-    pub(crate) messages: BTreeMap<MessageId, Message>, pub(crate) order_queues: BTreeMap<u64, OrderQueue>,
+    #[serde(skip)]
+    pub(crate) settings: Settings,
+    /// Actions to be returned to the caller.
+    #[serde(skip)]
+    pub(crate) actions: Vec<Action>,
+    /// How late decisions may be carried out: messages are given up this much earlier.
+    #[serde(skip)]
+    processing_lag: Micros,
+    pub(crate) now: Micros,
+    random: Random,
+    pub(crate) messages: BTreeMap<MessageId, Message>,
+    pub(crate) order_key_queues: BTreeMap<u64, OrderKeyQueue>,
     pub(crate) listing: Listing,
-    /// What is known of active destinations, their routes and endpoints.
-    pub(crate) destinations: Destinations, pub(crate) routes: RouteTable,
+    /// Active destinations.
+    pub(crate) destinations: Destinations,
+    /// Routes of active destinations.
+    pub(crate) routes: RouteTable,
+    /// Endpoints of active destinations.
     pub(crate) targets: BTreeMap<TargetId, Target>,
-    pub(crate) excluded: BTreeSet<TargetId>,
-    /// When to look at a message again: its time is up, or its key has rested.
+    /// Endpoints that operators have disabled.
+    pub(crate) disabled: BTreeSet<TargetId>,
+    /// When to look at a message again: it is due to be given up, or the pause of its order key ends.
     pub(crate) message_timers: BTreeSet<(Micros, MessageId)>,
-    /// By class, fading: messages that came, and those delivered.
-    pub(crate) arrived: Vec<f64>, pub(crate) delivered: Vec<f64>,
-    maintenance_at: Micros, averaging_window: f64, retry_jitter: f64, wake_at: Micros, armed: Micros,
-    pub(crate) rounds_since_drop: u32, calls_out: u32, next_call: u64, blocked: bool,
-    stopping: Option<Micros>, list_version: u32, logged: u32,
+    /// Messages that arrived, by class, decayed over time.
+    pub(crate) arrived: Vec<f64>,
+    /// Messages that were delivered, by class, decayed over time.
+    pub(crate) delivered: Vec<f64>,
+    next_maintenance_at: Micros,
+    /// Span in seconds over which the decayed counts of messages average.
+    averaging_window: f64,
+    /// Spread of the random pauses after rejections in microseconds, learned from how the calls after them end.
+    pause_spread: f64,
+    /// The earliest time at which a route that cannot take a call now may take one.
+    wake_at: Micros,
+    /// When the requested timer fires, `Micros::MAX` if none is pending.
+    timer_at: Micros,
+    pub(crate) rounds_since_cleanup: u32,
+    calls_in_flight: u32,
+    last_call_number: u64,
+    /// Messages are ready to be sent, but all slots are taken.
+    out_of_slots: bool,
+    /// When the process ends, once that is known.
+    shutdown_at: Option<Micros>,
+    list_version: u32,
+    log_lines: u32,
 }
 
 impl DeliveryPolicy {
-    /// A replica that has just come up.
+    /// The policy of a replica that has just started.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Self {
-        let (maintenance_at, armed) = (now + MAINTENANCE_INTERVAL, Micros::MAX);
+        let (next_maintenance_at, timer_at) = (now + MAINTENANCE_INTERVAL_MICROS, Micros::MAX);
         let (random, none) = (Random::new(seed), vec![0.0; settings.classes.len()]);
         let (arrived, delivered) = (none.clone(), none);
-        let fresh = DeliveryPolicy { settings, random, now, arrived, delivered, ..DeliveryPolicy::default() };
-        let fresh = DeliveryPolicy { maintenance_at, armed, ..fresh };
-        DeliveryPolicy { retry_jitter: fresh.even_interval().min(fresh.settings.least_aim()), ..fresh }
+        let new = DeliveryPolicy { settings, random, now, arrived, delivered, ..DeliveryPolicy::default() };
+        let new = DeliveryPolicy { next_maintenance_at, timer_at, ..new };
+        DeliveryPolicy { pause_spread: new.safe_call_interval().min(new.settings.shortest_aim()), ..new }
     }
 
-    /// Takes in one thing that happened. Sends are chosen in [`DeliveryPolicy::decide`].
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    /// Processes one event. Which messages are sent is decided in [`DeliveryPolicy::decide`].
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::List { kind, version, endpoints } => self.list(kind, version, endpoints),
+            Event::List { kind, version, endpoints } => self.apply_list(kind, version, endpoints),
             Event::Request { id, class, destination, order_key, expires } => {
                 let class = class as usize;
-                self.request(id, Message { class, destination, order_key, expires, ..Message::default() });
+                self.accept_message(
+                    id,
+                    Message { class, destination, order_key, expires, ..Message::default() },
+                );
                 self.make_room()
             }
             Event::Restored { id, class, destination, order_key, expires, attempts, first_run } => {
                 let attempts = attempts.into_iter().map(Attempt::before_restart).collect();
-                let (class, ran) = (class as usize, first_run);
-                let m =
-                    Message { class, destination, order_key, expires, attempts, ran, ..Message::default() };
-                self.restored(id, m)
+                let (class, first_run) = (class as usize, first_run);
+                let message = Message {
+                    class,
+                    destination,
+                    order_key,
+                    expires,
+                    attempts,
+                    first_run,
+                    ..Message::default()
+                };
+                self.restore_message(id, message)
             }
-            Event::ProcessingLag { lag: by } => self.late = by,
-            Event::Shutdown { at: by } => {
-                self.stopping = Some(by);
-                self.destinations.forget_waits()
+            Event::ProcessingLag { lag } => self.processing_lag = lag,
+            Event::Shutdown { at } => {
+                self.shutdown_at = Some(at);
+                self.destinations.unblock_all()
             }
-            Event::EndpointAdminState { target, disabled: out } => self.by_hand(target, out),
-            Event::StreamStarted { id, .. } | Event::Abandoned { id } => self.finish(id),
+            Event::EndpointAdminState { target, disabled } => self.set_disabled(target, disabled),
+            Event::StreamStarted { id, .. } | Event::Abandoned { id } => self.end_message(id),
             Event::AttemptEnded {
-                id,
-                attempt,
-                outcome,
-                took,
-                message_ended: ended,
-                retry_after: wait,
-                report,
-                ..
+                id, attempt, outcome, took, message_ended, retry_after, report, ..
             } => {
-                let sent = now.saturating_sub(took);
-                let end = End { outcome, sent, wait, report, planned: false };
-                self.outcome(id, attempt as usize, end, ended)
+                let sent_at = now.saturating_sub(took);
+                let result = AttemptResult { outcome, sent_at, retry_after, report, retry_planned: false };
+                self.attempt_ended(id, attempt as usize, result, message_ended)
             }
-            Event::Timer { .. } if self.armed <= now => self.armed = Micros::MAX,
+            Event::Timer { .. } if self.timer_at <= now => self.timer_at = Micros::MAX,
             Event::Timer { .. } | Event::PeerMessage { .. } | Event::ProbeEnded { .. } => {}
         }
-        out.append(&mut self.out);
+        actions.append(&mut self.actions);
     }
 
+    /// Requests a log line. Lines after the first 100 of a policy are dropped.
     fn log(&mut self, text: String) {
-        self.logged += 1;
-        self.out.extend((self.logged <= 100).then_some(Action::Log { text }));
+        self.log_lines += 1;
+        self.actions.extend((self.log_lines <= 100).then_some(Action::Log { text }));
     }
 
-    /// Chooses what is sent now. Call it once after the last event of a moment.
-    pub fn decide(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Decides which messages are sent now. Must be called once after the last event of a moment.
+    pub fn decide(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now;
-        let soon = self.now + self.late;
-        let in_time = |m: &Message| !self.is_due(m) || m.attempts.iter().any(|a| a.done.is_none());
-        let looks = self.message_timers.range(..=(soon, MessageId::MAX));
-        let due = looks.filter(|(at, id)| *at <= now || !self.messages.get(id).is_none_or(in_time));
+        let carried_out_at = self.now + self.processing_lag;
+        let needs_no_end = |message: &Message| {
+            !self.is_due(message) || message.attempts.iter().any(|attempt| attempt.outcome.is_none())
+        };
+        let timers = self.message_timers.range(..=(carried_out_at, MessageId::MAX));
+        let due = timers.filter(|(at, id)| *at <= now || !self.messages.get(id).is_none_or(needs_no_end));
         for (at, id) in due.copied().collect::<Vec<_>>() {
             (at <= now).then(|| self.message_timers.remove(&(at, id)));
-            let Some(m) = self.messages.get(&id) else { continue };
-            match self.is_due(m) {
+            let Some(message) = self.messages.get(&id) else { continue };
+            match self.is_due(message) {
                 false => self.enqueue(id),
-                true if m.attempts.iter().all(|a| a.done.is_some()) => self.give_up(id),
+                true if message.attempts.iter().all(|attempt| attempt.outcome.is_some()) => self.give_up(id),
                 true => {}
             }
         }
-        (self.now >= self.maintenance_at).then(|| self.maintain());
-        self.wake_at = self.destinations.end_waits(self.now).unwrap_or(Micros::MAX);
+        (self.now >= self.next_maintenance_at).then(|| self.maintain());
+        self.wake_at = self.destinations.unblock_due(self.now).unwrap_or(Micros::MAX);
         let ready: Vec<DestinationId> = self.destinations.sendable().collect();
-        let mut best: Vec<_> = ready.into_iter().filter_map(|d| Some((d, self.best_send(d)?))).collect();
-        while self.calls_out < self.settings.slots {
+        let mut best: Vec<_> = ready
+            .into_iter()
+            .filter_map(|destination| Some((destination, self.best_send(destination)?)))
+            .collect();
+        while self.calls_in_flight < self.settings.slots {
             let top = (0..best.len()).max_by(|a, b| best[*a].1 .0.total_cmp(&best[*b].1 .0));
             let Some(i) = top else { break };
-            let (dest, (_, id, route, target, half_open)) = best[i];
-            let m = &self.messages[&id];
-            let left = m.expires.saturating_sub(self.now) as f64;
-            // A keyed message whose window has lapsed while it was held may not go either.
-            if !self.allowed(m).0 || left < self.routes[route].times.least() {
+            let (destination, (_, id, route_index, target, half_open)) = best[i];
+            let message = &self.messages[&id];
+            let time_left = message.expires.saturating_sub(self.now) as f64;
+            // The deduplication window of a keyed message may have ended while the message was held.
+            if !self.allowed(message).0 || time_left < self.routes[route_index].response_times.shortest() {
                 self.give_up(id);
             } else {
-                let call = self.send(id, route, target, half_open, None);
-                (!half_open).then(|| self.fill(dest, route, target, call));
+                let call = self.send(id, route_index, target, half_open, None);
+                (!half_open).then(|| self.fill_batch(destination, route_index, target, call));
             }
-            match self.best_send(dest) {
+            match self.best_send(destination) {
                 Some(next) => best[i].1 = next,
                 None => drop(best.swap_remove(i)),
             }
         }
-        self.blocked = !best.is_empty();
-        // Those whose calls are out yet wait for these, or for their own time.
-        let ahead = self.message_timers.range((soon + 1, 0)..).next().map(|a| a.0 - self.late);
-        let next =
-            self.message_timers.first().map(|a| a.0).into_iter().chain(ahead).min().unwrap_or(Micros::MAX);
-        let at = self.maintenance_at.min(self.wake_at).min(next);
-        if at < self.armed {
-            self.armed = at;
-            self.out.push(Action::Timer { after: at.saturating_sub(self.now).max(1), token: 0 });
+        self.out_of_slots = !best.is_empty();
+        // Messages that are due but still in flight wait for the end of their calls, or for their own timers.
+        let ahead = self
+            .message_timers
+            .range((carried_out_at + 1, 0)..)
+            .next()
+            .map(|timer| timer.0 - self.processing_lag);
+        let next = self
+            .message_timers
+            .first()
+            .map(|timer| timer.0)
+            .into_iter()
+            .chain(ahead)
+            .min()
+            .unwrap_or(Micros::MAX);
+        let at = self.next_maintenance_at.min(self.wake_at).min(next);
+        if at < self.timer_at {
+            self.timer_at = at;
+            self.actions.push(Action::Timer { after: at.saturating_sub(self.now).max(1), token: 0 });
         }
-        out.append(&mut self.out);
+        actions.append(&mut self.actions);
     }
 
-    /// Timer work over the routes of active destinations: ageing, τ, rates, silence, and what is forgotten.
+    /// Periodic maintenance of active routes: decays what was learned, updates retry timeouts and rate limits, opens
+    /// the breakers of silent routes, cancels overdue calls and drops state that is no longer needed.
     fn maintain(&mut self) {
-        self.maintenance_at = self.now + MAINTENANCE_INTERVAL;
-        self.order_queues.retain(|_, (line, rest)| !line.is_empty() || *rest > self.now);
-        let keep = 0.5f64.powf(MAINTENANCE_INTERVAL as f64 / self.settings.longest_deadline());
-        self.averaging_window = self.averaging_window * keep + MAINTENANCE_INTERVAL as f64 / SECOND;
-        self.arrived.iter_mut().chain(&mut self.delivered).for_each(|n| *n *= keep);
-        let ramp = self.settings.contract.ramp_time;
-        for l in self.routes.iter_mut() {
-            l.times.age(keep);
-            l.recent_requests *= keep;
-            l.recent_repeatable *= keep;
-            if l.times.answers >= WARM_UP {
-                // A resend throws work away and does it again: its cost c is a mean answer.
-                l.times.retune(l.times.mean());
+        self.next_maintenance_at = self.now + MAINTENANCE_INTERVAL_MICROS;
+        self.order_key_queues
+            .retain(|_, (queue, paused_until)| !queue.is_empty() || *paused_until > self.now);
+        let keep = 0.5f64.powf(MAINTENANCE_INTERVAL_MICROS as f64 / self.settings.longest_deadline());
+        self.averaging_window =
+            self.averaging_window * keep + MAINTENANCE_INTERVAL_MICROS as f64 / MICROS_PER_SECOND;
+        self.arrived.iter_mut().chain(&mut self.delivered).for_each(|count| *count *= keep);
+        let ramp_time = self.settings.contract.ramp_time;
+        for route in self.routes.iter_mut() {
+            route.response_times.decay(keep);
+            route.recent_requests *= keep;
+            route.recent_repeatable *= keep;
+            if route.response_times.responses >= MIN_RESPONSES_FOR_TAU {
+                // A retry discards work and does it again: it costs a mean response time.
+                route.response_times.update_retry_timeout(route.response_times.mean());
             }
-            l.rate *= RATE_KEEP;
-            let drifts = l.rate_limit > 0.0 && l.limit <= 0.0;
-            l.rate_limit += if drifts { RATE_DRIFT * (l.rate_limit + 0.5) } else { 0.0 };
-            if matches!(l.breaker, CircuitBreaker::SlowStart { since } if self.now > since + ramp) {
-                l.breaker = CircuitBreaker::Closed;
+            route.served_rate *= SERVED_RATE_DECAY;
+            let drifts = route.rate_limit > 0.0 && route.known_limit <= 0.0;
+            route.rate_limit += if drifts { RATE_LIMIT_DRIFT * (route.rate_limit + 0.5) } else { 0.0 };
+            if matches!(route.breaker, CircuitBreaker::SlowStart { since } if self.now > since + ramp_time) {
+                route.breaker = CircuitBreaker::Closed;
             }
         }
-        let called = self.routes.numbers_with_calls();
-        for route in &called {
-            let out = self.routes[*route].breaker.is_open();
-            if let Some(since) = self.silent(*route).filter(|_| !out) {
-                let l = &mut self.routes[*route];
-                (l.may_have_run, l.trouble) = (true, l.trouble.or(Some(since)));
-                self.open_breaker(*route);
+        let with_calls = self.routes.indices_with_calls();
+        for route_index in &with_calls {
+            let is_open = self.routes[*route_index].breaker.is_open();
+            if let Some(since) = self.silent_since(*route_index).filter(|_| !is_open) {
+                let route = &mut self.routes[*route_index];
+                (route.failure_may_have_run, route.incident_since) =
+                    (true, route.incident_since.or(Some(since)));
+                self.open_breaker(*route_index);
             }
         }
-        self.release(&called);
-        self.drop_inactive_in_turn();
+        self.cancel_overdue_calls(&with_calls);
+        self.drop_inactive_periodically();
     }
 }
--- a/src/policy/rates.rs
+++ b/src/policy/rates.rs
@@ -1,134 +1,158 @@
-//! Rates: limits, half-open probe intervals and slow starts, each as one of many replicas.
+//! Rate limits, probe intervals and slow starts, each for one of many replicas that share the destinations without
+//! coordination.
 
 use super::*;
 
 impl DeliveryPolicy {
-    /// Messages a second that come to this replica for a route.
-    pub(super) fn own_rate(&self, route: usize) -> f64 {
-        self.routes[route].recent_requests / self.averaging_window.max(1.0)
+    /// Messages a second that arrive at this replica for a route.
+    pub(super) fn request_rate(&self, route_index: usize) -> f64 {
+        self.routes[route_index].recent_requests / self.averaging_window.max(1.0)
     }
 
-    /// Span between attempts of one replica at which all together bring a cold destination no harm.
-    pub(super) fn even_interval(&self) -> f64 {
-        f64::from(self.settings.replicas.max(1)) * self.settings.contract.overload_duration as f64 / SLACK
+    /// Interval between the calls of one replica at which the calls of all replicas together do a cold destination no
+    /// harm, in microseconds.
+    pub(super) fn safe_call_interval(&self) -> f64 {
+        f64::from(self.settings.replicas.max(1)) * self.settings.contract.overload_duration as f64
+            / SAFE_CALLS_IN_OVERLOAD_DURATION
     }
 
-    /// Least span between attempts at a route in trouble. Guards what is out, shut or cold against many
-    /// replicas that each try seldom: each keeps to its part of what would push it over, as in the
-    /// slow start, evenly, or by the trouble's span, in which each message brought one replica at most.
-    pub(super) fn probe_interval(&self, route: usize, at: Micros) -> f64 {
-        // The fewer replicas, the better each one's own traffic tells its part; of many, the even part does.
-        let senders = f64::from(self.settings.replicas.max(2));
-        let even_share = self.routes[route].limit / senders * (1.0 - 2.0 / senders);
-        let r = &self.settings.contract;
-        let capacity =
-            self.own_rate(route).max(even_share) * r.cold_capacity_share * r.overload_factor.max(1.0);
-        let part = capacity * RAMP_CAUTION / SECOND;
-        let since = at - self.routes[route].trouble.unwrap_or(at).min(at);
-        let spans = (TROUBLE_SPANS * senders / 4.0).clamp(TROUBLE_SPANS, MOST_TROUBLE_SPANS);
-        (1.0 / part.max(1e-12)).min(self.even_interval()).min(spans * since as f64)
+    /// Least interval between attempts at a route with an incident, in microseconds. It protects destinations that are
+    /// out, closed or cold from many replicas that each try rarely: as in the slow start, each replica keeps to its part
+    /// of the load that would overload the destination, either its equal share or a multiple of the incident's age, in
+    /// which each message brought at most one replica to try.
+    pub(super) fn probe_interval(&self, route_index: usize, at: Micros) -> f64 {
+        // In a small fleet the replica's own request rate tells its part best, in a large one the equal share does.
+        let replicas = f64::from(self.settings.replicas.max(2));
+        let equal_share = self.routes[route_index].known_limit / replicas * (1.0 - 2.0 / replicas);
+        let contract = &self.settings.contract;
+        let capacity = self.request_rate(route_index).max(equal_share)
+            * contract.cold_capacity_share
+            * contract.overload_factor.max(1.0);
+        let safe_rate = capacity * RAMP_SAFETY_SHARE / MICROS_PER_SECOND;
+        let incident_age = at - self.routes[route_index].incident_since.unwrap_or(at).min(at);
+        let ages = (PROBE_INTERVAL_INCIDENT_AGES * replicas / 4.0)
+            .clamp(PROBE_INTERVAL_INCIDENT_AGES, MAX_PROBE_INTERVAL_INCIDENT_AGES);
+        (1.0 / safe_rate.max(1e-12)).min(self.safe_call_interval()).min(ages * incident_age as f64)
     }
 
-    /// This replica's part of a cautious share of what would push over what is cold since then, rising over
-    /// the ramp. Does harm where it was not cold.
-    pub(crate) fn cold_rate(&self, route: usize, since: Micros) -> f64 {
-        let r = &self.settings.contract;
-        let part = ((self.now - since) as f64 / r.ramp_time.max(1) as f64).min(1.0);
-        let warm = r.cold_capacity_share + (1.0 - r.cold_capacity_share) * part;
-        let limit = self.routes[route].limit.max(LEAST_TOGETHER);
-        let capacity = self.own_rate(route).max(limit / f64::from(self.settings.replicas.max(1)));
-        capacity * warm * r.overload_factor.max(1.0) * RAMP_CAUTION
+    /// Calls a second that this replica may send to a destination that has been recovering from cold since then: its
+    /// part of a safe share of the load that would overload the destination, which rises over the ramp. The cost: a
+    /// destination that was not cold is under-used.
+    pub(crate) fn cold_rate(&self, route_index: usize, since: Micros) -> f64 {
+        let contract = &self.settings.contract;
+        let ramped = ((self.now - since) as f64 / contract.ramp_time.max(1) as f64).min(1.0);
+        let warm_share = contract.cold_capacity_share + (1.0 - contract.cold_capacity_share) * ramped;
+        let limit = self.routes[route_index].known_limit.max(MIN_CAPACITY_CALLS_PER_SECOND);
+        let capacity = self.request_rate(route_index).max(limit / f64::from(self.settings.replicas.max(1)));
+        capacity * warm_share * contract.overload_factor.max(1.0) * RAMP_SAFETY_SHARE
     }
 
-    /// Age up to which a trouble is short: one of few replicas sees it begin, one of many perhaps its end.
-    pub(super) fn short_trouble(&self) -> Micros {
-        let seen_part = (4.0 / f64::from(self.settings.replicas.max(1))).min(1.0);
-        (seen_part * 2.0 * self.settings.contract.overload_duration as f64) as Micros
+    /// Age up to which an incident is brief. A replica of a small fleet sees an incident from its beginning, one of a
+    /// large fleet perhaps only its end.
+    pub(super) fn brief_incident_age(&self) -> Micros {
+        let seen_share = (4.0 / f64::from(self.settings.replicas.max(1))).min(1.0);
+        (seen_share * 2.0 * self.settings.contract.overload_duration as f64) as Micros
     }
 
-    /// The rate limit of one of many may let its first call come after all that a restart found is over.
-    /// Guards against that: a call is saved up by some moment before. Harms where all have found something
-    /// for a limit of less than a call of each in that time.
-    pub(super) fn call_in_time(&mut self, route: usize, expires: Micros) {
-        let share = FOUND_WITHIN * self.random.next() * expires.saturating_sub(self.now) as f64 / SECOND;
-        let l = &mut self.routes[route];
-        l.tokens = l.tokens.max(1.0 - l.rate_limit * share);
+    /// Makes sure that the rate limit of a route has a token by a random moment before a restored message expires. In a
+    /// large fleet the replica's rate limit may otherwise allow its first call only after all restored messages have
+    /// expired. The cost: a destination is overloaded if all replicas have restored messages for it and its limit is
+    /// less than one call of each in that time.
+    pub(super) fn reserve_call_before(&mut self, route_index: usize, expires: Micros) {
+        let within =
+            RESTORED_CALL_WITHIN_SHARE * self.random.next() * expires.saturating_sub(self.now) as f64
+                / MICROS_PER_SECOND;
+        let route = &mut self.routes[route_index];
+        route.tokens = route.tokens.max(1.0 - route.rate_limit * within);
     }
 
-    /// Whether a route takes a call now, and whether as a half-open probe; if not, when to look again.
-    pub(super) fn can_call(&mut self, route: usize, cap: u32) -> Result<bool, Micros> {
-        let usual = self.patience(&self.routes[route]) as Micros;
-        if self.stopping.is_some_and(|by| self.now + usual > by) {
-            return Err(Micros::MAX); // it would be cut off, and may have run
+    /// Whether a route may take a call now: if so, whether as a half-open probe; if not, when to check again.
+    pub(super) fn can_call(&mut self, route_index: usize, max_calls: u32) -> Result<bool, Micros> {
+        let overdue_age = self.overdue_age(&self.routes[route_index]) as Micros;
+        if self.shutdown_at.is_some_and(|at| self.now + overdue_age > at) {
+            return Err(Micros::MAX); // The shutdown would cut the call off, though it may have been executed.
         }
-        let l = &self.routes[route];
-        let (mut rate, mut depth) = (l.rate_limit, l.depth(self.settings.least_aim() / SECOND));
-        if l.opens_at() > self.now {
-            return Err(l.opens_at());
+        let route = &self.routes[route_index];
+        let (mut rate, mut depth) =
+            (route.rate_limit, route.bucket_depth(self.settings.shortest_aim() / MICROS_PER_SECOND));
+        if route.next_call_at() > self.now {
+            return Err(route.next_call_at());
         }
-        let long_trouble = l.trouble.is_some_and(|since| self.now >= since + self.short_trouble());
-        if let CircuitBreaker::SlowStart { since } = l.breaker {
-            (rate, depth) = (self.cold_rate(route, since), 1.0);
-        } else if long_trouble && l.refusals_in_a_row == 0 {
-            // It may be out, and return cold, though too few calls have failed here to tell.
-            rate = rate.min(self.cold_rate(route, self.now) / RAMP_CAUTION);
+        let long_incident =
+            route.incident_since.is_some_and(|since| self.now >= since + self.brief_incident_age());
+        if let CircuitBreaker::SlowStart { since } = route.breaker {
+            (rate, depth) = (self.cold_rate(route_index, since), 1.0);
+        } else if long_incident && route.consecutive_rejections == 0 {
+            // The destination may be out, and return cold, though this replica has seen too few failures to tell.
+            rate = rate.min(self.cold_rate(route_index, self.now) / RAMP_SAFETY_SHARE);
         }
-        // Calls past all that is usual tell no more of what the route takes at once.
-        let answerable = |c: &&Call| self.now.saturating_sub(c.sent) <= usual;
-        let in_flight = self.routes[route].calls.values().filter(answerable).count() as u32;
-        let l = &mut self.routes[route];
-        let refill = if rate > 0.0 { rate * (self.now - l.filled) as f64 / SECOND } else { f64::MAX };
-        l.tokens = (l.tokens + refill).min(depth);
-        l.filled = self.now;
-        let lack = (1.0 - l.tokens) / rate.max(1e-9) * SECOND;
-        match l.breaker {
+        // Overdue calls no longer tell how many calls the route can take at once.
+        let is_timely = |call: &&Call| self.now.saturating_sub(call.sent_at) <= overdue_age;
+        let in_flight = self.routes[route_index].calls.values().filter(is_timely).count() as u32;
+        let route = &mut self.routes[route_index];
+        let refill = if rate > 0.0 {
+            rate * (self.now - route.refilled_at) as f64 / MICROS_PER_SECOND
+        } else {
+            f64::MAX
+        };
+        route.tokens = (route.tokens + refill).min(depth);
+        route.refilled_at = self.now;
+        let until_token = (1.0 - route.tokens) / rate.max(1e-9) * MICROS_PER_SECOND;
+        match route.breaker {
             CircuitBreaker::Open { .. } => Ok(true),
-            _ if rate > 0.0 && l.tokens < 1.0 => Err(self.now + lack as Micros + 1),
-            _ if in_flight < (l.window as u32).min(cap).max(1) => Ok(false),
+            _ if rate > 0.0 && route.tokens < 1.0 => Err(self.now + until_token as Micros + 1),
+            _ if in_flight < (route.window as u32).min(max_calls).max(1) => Ok(false),
             _ => Err(Micros::MAX),
         }
     }
 }
 
-/// Whether a rate limit where none is known is so far above what comes that it limits nothing.
-pub(super) fn exceeds_need(rate_limit: f64, own_rate: f64) -> bool {
-    rate_limit > 4.0 * own_rate.max(1.0)
+/// Whether a rate limit, where the destination's limit is not known, is so far above the request rate that it limits
+/// nothing.
+pub(super) fn exceeds_request_rate(rate_limit: f64, request_rate: f64) -> bool {
+    rate_limit > 4.0 * request_rate.max(1.0)
 }
 
 impl Route {
-    /// Halves the window, once for all calls that were out together.
-    pub(super) fn halve(&mut self, sent: Micros, now: Micros) -> bool {
-        let due = self.halved <= sent;
+    /// Halves the window, once for all calls that were in flight together. Returns whether it did.
+    pub(super) fn halve_window(&mut self, sent_at: Micros, now: Micros) -> bool {
+        let due = self.window_halved_at <= sent_at;
         if due {
-            (self.window, self.halved) = ((self.window / 2.0).max(1.0), now);
+            (self.window, self.window_halved_at) = ((self.window / 2.0).max(1.0), now);
         }
         due
     }
 
-    /// A call that was not sent, its message over say, tells nothing and takes nothing: it was no probe.
-    pub(super) fn not_sent(&mut self, half_open: bool, again: Micros) {
+    /// Takes back a call that was not sent, for example because its message had ended: it returns its token, and counts
+    /// as no half-open probe.
+    pub(super) fn take_back_call(&mut self, half_open: bool, next_call_at: Micros) {
         self.tokens += 1.0;
-        if let (true, CircuitBreaker::Open { next, backoff }) = (half_open, self.breaker) {
-            self.breaker = CircuitBreaker::Open { next: next.min(again), backoff: backoff / PROBE_BACKOFF };
+        if let (true, CircuitBreaker::Open { next_probe_at, backoff }) = (half_open, self.breaker) {
+            self.breaker = CircuitBreaker::Open {
+                next_probe_at: next_probe_at.min(next_call_at),
+                backoff: backoff / PROBE_BACKOFF_FACTOR,
+            };
         }
     }
 
-    /// Calls that may go at once after a rest. With a known limit as many as chance brings in an aim: in a
-    /// large fleet the part of each is less than one, and most of its calls come alone.
-    pub(super) fn depth(&self, aim: f64) -> f64 {
-        if self.limit > 0.0 {
+    /// Depth of the token bucket: calls that may be sent at once after a pause. With a known limit it is as many as
+    /// random arrivals may bring within an aim, given in seconds: in a large fleet the share of each replica is less
+    /// than one call, and most of its calls come alone.
+    pub(super) fn bucket_depth(&self, aim: f64) -> f64 {
+        if self.known_limit > 0.0 {
             1.0 + 2.0 * (self.rate_limit * aim).sqrt()
         } else {
             (self.rate_limit / 2.0).max(1.0)
         }
     }
 
-    /// A known limit starts the rate limit at an even part, however little: where all begin at once, as
-    /// after a restart with what they held, a call of each is more than the limit of many a destination.
-    pub(crate) fn limit_is(&mut self, rate: f64, senders: u32) {
-        if self.limit <= 0.0 {
-            self.rate_limit = rate / f64::from(senders.max(1));
+    /// Sets the known limit. The first one starts the rate limit at the replica's equal share, however small: where all
+    /// replicas start at once, as after a restart with restored messages, one call of each is more than many a
+    /// destination's limit.
+    pub(crate) fn set_known_limit(&mut self, rate: f64, replicas: u32) {
+        if self.known_limit <= 0.0 {
+            self.rate_limit = rate / f64::from(replicas.max(1));
         }
-        self.limit = rate;
+        self.known_limit = rate;
     }
 }
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -1,107 +1,140 @@
-//! Calls: begun, filled with further messages, and called off.
+//! Sending of calls, batches of messages in one call, and cancellation of overdue calls.
 
 use super::*;
 
 impl DeliveryPolicy {
-    /// Whether a call whose connection took its time may be written still: its endpoint may drain by now,
-    /// its destination have told a wait, or the window for a repeat be over.
+    /// Whether a call may still be written whose connection took time to open: meanwhile its endpoint may have been
+    /// drained or disabled, its destination may have asked for a wait, its message may have ended, or the deduplication
+    /// window for a retry may be over.
     pub fn may_still_send(&mut self, now: Micros, id: MessageId, target: TargetId) -> bool {
         self.now = now;
-        let listed = self.targets.get(&target).filter(|t| t.state == EndpointState::Ready);
-        let ready = listed.is_some_and(|t| self.routes[t.route].wait_until <= now);
-        let timely = self.messages.get(&id).is_some_and(|m| !m.over && self.in_window(m));
-        ready && timely && !self.excluded.contains(&target)
+        let listed = self.targets.get(&target).filter(|endpoint| endpoint.state == EndpointState::Ready);
+        let is_ready = listed.is_some_and(|endpoint| self.routes[endpoint.route].paused_until <= now);
+        let is_timely = self
+            .messages
+            .get(&id)
+            .is_some_and(|message| !message.ended && self.in_deduplication_window(message));
+        is_ready && is_timely && !self.disabled.contains(&target)
     }
 
-    /// Carries out one send; `call` joins the call that is being filled.
+    /// Sends a message, as part of the given call if there is one, otherwise in a new call. Returns the call.
     pub(super) fn send(
-        &mut self, id: MessageId, route: usize, target: TargetId, half_open: bool, call: Option<u64>,
+        &mut self, id: MessageId, route_index: usize, target: TargetId, half_open: bool, call: Option<u64>,
     ) -> u64 {
-        let (jitter, longest) = (1.0 + TAU_JITTER * self.random.next(), self.settings.least_aim() / 2.0);
+        let (jitter, max_backoff) =
+            (1.0 + TAU_JITTER * self.random.next(), self.settings.shortest_aim() / 2.0);
         self.dequeue(id);
-        let probe_interval = self.probe_interval(route, self.now);
+        let probe_interval = self.probe_interval(route_index, self.now);
         let call = call.unwrap_or_else(|| {
-            self.next_call += 1;
-            self.calls_out += 1;
-            let l = &mut self.routes[route];
-            l.tokens -= 1.0;
-            l.calls.insert(self.next_call, Call { target, sent: self.now, half_open, ..Call::default() });
-            if let CircuitBreaker::Open { backoff, .. } = l.breaker {
-                let next = self.now + (backoff.max(probe_interval) * jitter) as Micros;
-                l.breaker = CircuitBreaker::Open { next, backoff: (backoff * PROBE_BACKOFF).min(longest) };
+            self.last_call_number += 1;
+            self.calls_in_flight += 1;
+            let route = &mut self.routes[route_index];
+            route.tokens -= 1.0;
+            route.calls.insert(
+                self.last_call_number,
+                Call { target, sent_at: self.now, half_open, ..Call::default() },
+            );
+            if let CircuitBreaker::Open { backoff, .. } = route.breaker {
+                let next_probe_at = self.now + (backoff.max(probe_interval) * jitter) as Micros;
+                route.breaker = CircuitBreaker::Open {
+                    next_probe_at,
+                    backoff: (backoff * PROBE_BACKOFF_FACTOR).min(max_backoff),
+                };
             }
-            self.next_call
+            self.last_call_number
         });
-        let l = &mut self.routes[route];
-        let zone = self.targets.get_mut(&target).map_or(0, |t| {
-            let rest = if t.last_used > t.ended { 0 } else { self.now.saturating_sub(t.ended) };
-            // After a longer one the endpoint has closed it.
-            t.rests = if rest < self.settings.connection_idle_timeout { t.rests + rest } else { 0 };
-            t.last_used = self.now;
-            t.zone
+        let route = &mut self.routes[route_index];
+        let zone = self.targets.get_mut(&target).map_or(0, |endpoint| {
+            let idle = if endpoint.last_used_at > endpoint.last_result_at {
+                0
+            } else {
+                self.now.saturating_sub(endpoint.last_result_at)
+            };
+            // After a longer idle time the endpoint has closed the connection.
+            endpoint.total_idle =
+                if idle < self.settings.connection_idle_timeout { endpoint.total_idle + idle } else { 0 };
+            endpoint.last_used_at = self.now;
+            endpoint.zone
         });
-        let Some(m) = self.messages.get_mut(&id) else { return call };
-        let c = &self.settings.classes[m.class];
-        let tau = (l.times.tau * jitter) as Micros;
-        let again = match c.retry_safety {
+        let Some(message) = self.messages.get_mut(&id) else { return call };
+        let class = &self.settings.classes[message.class];
+        let tau = (route.response_times.retry_timeout * jitter) as Micros;
+        let may_retry = match class.retry_safety {
             RetrySafety::Repeatable => true,
             RetrySafety::Keyed => {
                 self.now + tau + 2 * self.settings.tick
-                    < m.ran.map_or(self.now, |r| r.0) + c.deduplication_window
+                    < message.first_run.map_or(self.now, |first_run| first_run.0) + class.deduplication_window
             }
             RetrySafety::Unsafe => false,
         };
-        let last = m.attempts.len() + 1 >= self.settings.max_attempts as usize;
-        // The lesser of τ and the time left; the time left where no resend may follow.
-        let end = m.expires.saturating_sub(self.late).max(self.now);
-        let planned =
-            again && !last && l.times.tau > 0.0 && (l.budget > 0.0 || half_open) && self.now + tau < end;
-        let until = if planned { self.now + tau } else { end };
-        m.ran.get_or_insert((self.now, zone));
-        if let Some(c) = l.calls.get_mut(&call) {
-            c.messages.push((id, m.attempts.len() as u32));
+        let is_last = message.attempts.len() + 1 >= self.settings.max_attempts as usize;
+        // The call times out at the retry timeout τ if a retry can follow it in time, otherwise when the message expires.
+        let end = message.expires.saturating_sub(self.processing_lag).max(self.now);
+        let retry_planned = may_retry
+            && !is_last
+            && route.response_times.retry_timeout > 0.0
+            && (route.retry_budget > 0.0 || half_open)
+            && self.now + tau < end;
+        let until = if retry_planned { self.now + tau } else { end };
+        message.first_run.get_or_insert((self.now, zone));
+        if let Some(call) = route.calls.get_mut(&call) {
+            call.messages.push((id, message.attempts.len() as u32));
         }
-        m.attempts.push(Attempt { target, call, planned, done: None });
-        self.out.push(Action::Send { id, target, until });
+        message.attempts.push(Attempt { target, call, retry_planned, outcome: None });
+        self.actions.push(Action::Send { id, target, until });
         call
     }
 
-    /// Fills a call further, where the destination takes several messages in one. A probe goes alone.
-    pub(super) fn fill(&mut self, dest: DestinationId, route: usize, target: TargetId, call: u64) {
-        let batch = self.settings.batch_by_kind.get(self.routes[route].kind).copied().unwrap_or(1);
-        let zone = self.targets.get(&target).map_or(0, |t| t.zone + 1);
-        for _ in 1..batch {
-            let Some(d) = self.destinations.get(dest) else { return };
-            let open = d.ready.iter().filter(|((_, z, _), _)| *z == 0 || *z == zone);
-            let next = open.filter_map(|(queue, set)| self.candidate(*queue, set));
+    /// Adds further messages to a call, where the destination takes several in one. A half-open probe carries a single
+    /// message.
+    pub(super) fn fill_batch(
+        &mut self, destination_id: DestinationId, route_index: usize, target: TargetId, call: u64,
+    ) {
+        let batch_size = self.settings.batch_by_kind.get(self.routes[route_index].kind).copied().unwrap_or(1);
+        let zone = self.targets.get(&target).map_or(0, |endpoint| endpoint.zone + 1);
+        for _ in 1..batch_size {
+            let Some(destination) = self.destinations.get(destination_id) else { return };
+            let open = destination.queues.iter().filter(|((_, bound, _), _)| *bound == 0 || *bound == zone);
+            let next = open.filter_map(|(queue, messages)| self.next_in_queue(*queue, messages));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
-            let (m, l) = (&self.messages[&id], &self.routes[route]);
-            let unsafe_now = self.settings.classes[m.class].retry_safety == RetrySafety::Unsafe;
-            if !self.allowed(m).0 || (unsafe_now && l.may_have_run && l.failing > LOSSY) {
+            let (message, route) = (&self.messages[&id], &self.routes[route_index]);
+            let is_unsafe = self.settings.classes[message.class].retry_safety == RetrySafety::Unsafe;
+            if !self.allowed(message).0
+                || (is_unsafe && route.failure_may_have_run && route.failure_share > LOSSY_FAILURE_SHARE)
+            {
                 return;
             }
-            self.send(id, route, target, false, Some(call));
+            self.send(id, route_index, target, false, Some(call));
         }
     }
 
-    /// Takes back slots from calls past all that is usual, whatever leaves them without an end, so that one
-    /// silent endpoint does not hold up the others. Where the destination is out, what may be repeated at
-    /// will goes at once; the rest a few at a time while a send is blocked. Harms very late answers.
-    pub(super) fn release(&mut self, called: &[usize]) {
-        let mut few = if self.blocked { self.settings.slots.div_ceil(16) } else { 0 };
-        for &route in if self.settings.may_cancel { called } else { &[] } {
-            let patience = self.patience(&self.routes[route]);
-            let silent = self.routes[route].breaker.is_open() && self.routes[route].may_have_run;
-            let old = |c: &&mut Call| !c.given_up && (self.now - c.sent) as f64 > patience;
-            for c in self.routes[route].calls.values_mut().filter(old) {
-                let repeatable =
-                    |m: &Message| self.settings.classes[m.class].retry_safety == RetrySafety::Repeatable;
-                let free =
-                    silent && c.messages.iter().all(|m| self.messages.get(&m.0).is_some_and(repeatable));
-                if free || few > 0 {
-                    (few, c.given_up) = (few - u32::from(!free), true);
-                    let off = c.messages.iter().map(|(id, n)| Action::Cancel { id: *id, attempt: *n });
-                    self.out.extend(off);
+    /// Cancels calls that are overdue, for whatever reason, to free their slots: one silent endpoint must not hold up
+    /// the others. Where the destination is out, calls with repeatable messages only are cancelled at once; others a few
+    /// at a time, while messages wait for a slot. The cost: very late responses are lost.
+    pub(super) fn cancel_overdue_calls(&mut self, with_calls: &[usize]) {
+        let mut allowance = if self.out_of_slots { self.settings.slots.div_ceil(16) } else { 0 };
+        for &route_index in if self.settings.may_cancel { with_calls } else { &[] } {
+            let overdue_age = self.overdue_age(&self.routes[route_index]);
+            let is_out =
+                self.routes[route_index].breaker.is_open() && self.routes[route_index].failure_may_have_run;
+            let is_overdue =
+                |call: &&mut Call| !call.cancelled && (self.now - call.sent_at) as f64 > overdue_age;
+            for call in self.routes[route_index].calls.values_mut().filter(is_overdue) {
+                let is_repeatable = |message: &Message| {
+                    self.settings.classes[message.class].retry_safety == RetrySafety::Repeatable
+                };
+                let is_free = is_out
+                    && call
+                        .messages
+                        .iter()
+                        .all(|message| self.messages.get(&message.0).is_some_and(is_repeatable));
+                if is_free || allowance > 0 {
+                    (allowance, call.cancelled) = (allowance - u32::from(!is_free), true);
+                    let cancellations = call
+                        .messages
+                        .iter()
+                        .map(|(id, attempt)| Action::Cancel { id: *id, attempt: *attempt });
+                    self.actions.extend(cancellations);
                 }
             }
         }
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -1,83 +1,93 @@
-//! Answer times of a route, and the time-out that is chosen by them.
+//! Response times of a route, and the retry timeout that is chosen from them.
 
 use super::*;
 
-/// Answer times of one route and the choice of τ.
+/// Response times of a route, and its retry timeout τ.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct AnswerTimes {
-    histogram: AnswerHistogram,
+pub(crate) struct ResponseTimes {
+    histogram: ResponseTimeHistogram,
+    /// Decayed number of calls without a response.
     unanswered: f64,
-    pub(super) answers: u32,
-    pub(super) tau: f64,
-    run: u32,
+    /// Number of responses so far.
+    pub(super) responses: u32,
+    /// τ in microseconds, 0 while there are too few responses to choose it.
+    pub(super) retry_timeout: f64,
+    /// Calls in a row that timed out at τ.
+    consecutive_timeouts: u32,
 }
 
-impl AnswerTimes {
-    /// Answers later than τ count too: the histogram reaches to the longest.
-    pub(super) fn answered(&mut self, took: f64) {
+impl ResponseTimes {
+    /// Records a response. Those later than τ count too, so that the histogram covers the longest response times.
+    pub(super) fn record_response(&mut self, took: f64) {
         self.histogram.record(took);
-        self.answers = self.answers.saturating_add(1);
-        self.run = 0;
+        self.responses = self.responses.saturating_add(1);
+        self.consecutive_timeouts = 0;
     }
 
-    pub(super) fn age(&mut self, keep: f64) {
+    pub(super) fn decay(&mut self, keep: f64) {
         self.unanswered *= keep;
-        self.histogram.age(keep, self.tau);
+        self.histogram.decay(keep, self.retry_timeout);
     }
 
-    /// Whether too little is left of what was seen to tell a time-out from.
+    /// Whether too little of what was recorded is left to choose a timeout from.
     pub(super) fn has_faded(&self) -> bool {
-        self.histogram.total() + self.unanswered < FADED
+        self.histogram.total() + self.unanswered < FADED_WEIGHT
     }
 
     pub(super) fn mean(&self) -> f64 {
         self.histogram.mean()
     }
 
-    pub(super) fn least(&self) -> f64 {
-        self.histogram.least()
+    pub(super) fn shortest(&self) -> f64 {
+        self.histogram.shortest()
     }
 
     pub(super) fn longest(&self) -> f64 {
         self.histogram.longest()
     }
 
-    /// Moves τ to the candidate of least Ê, then up while the paper's condition (6) holds; gives its Ê.
-    /// The mean of the answers by τ is M/p already: divided by p again it would miss the paper's tables.
-    pub(super) fn retune(&mut self, c: f64) -> Option<f64> {
-        let times = &self.histogram;
-        let (total, width) = (times.total() + self.unanswered, times.width());
-        let (mut n, mut s) = (0.0, 0.0);
+    /// Sets τ to the bucket edge of least expected completion time Ê, then raises it while condition (6) of the paper
+    /// on restarts holds, and returns its Ê. `retry_cost` is the paper's c. The mean of the responses up to τ is the
+    /// paper's M/p already: divided by p again, it would not reproduce the tables of the paper.
+    pub(super) fn update_retry_timeout(&mut self, retry_cost: f64) -> Option<f64> {
+        let histogram = &self.histogram;
+        let (total, width) = (histogram.total() + self.unanswered, histogram.width());
+        let (mut count, mut sum) = (0.0, 0.0);
         let mut expected = [f64::INFINITY; BUCKETS];
         let mut share = [0.0; BUCKETS];
         for i in 0..BUCKETS {
-            n += times.count(i);
-            s += times.sum(i);
-            if n > FADED {
-                let p = n / total;
+            count += histogram.count(i);
+            sum += histogram.sum(i);
+            if count > FADED_WEIGHT {
+                let p = count / total;
                 share[i] = p;
-                expected[i] = s / n + (1.0 - p) / p * ((i + 1) as f64 * width + c);
+                expected[i] = sum / count + (1.0 - p) / p * ((i + 1) as f64 * width + retry_cost);
             }
         }
         let finite = (0..BUCKETS).filter(|i| expected[*i].is_finite());
-        let mut j = finite.min_by(|a, b| expected[*a].total_cmp(&expected[*b]))?;
-        let density = |j: usize| times.count(j) / (total * width);
-        let grows = |j: usize| times.weighs(j) && (1.0 - share[j]) / density(j) - c < expected[j];
-        while j + 1 < BUCKETS && grows(j) {
-            j += 1;
+        let mut bucket = finite.min_by(|a, b| expected[*a].total_cmp(&expected[*b]))?;
+        let density = |bucket: usize| histogram.count(bucket) / (total * width);
+        let raises = |bucket: usize| {
+            histogram.has_weight(bucket)
+                && (1.0 - share[bucket]) / density(bucket) - retry_cost < expected[bucket]
+        };
+        while bucket + 1 < BUCKETS && raises(bucket) {
+            bucket += 1;
         }
-        let raised = if self.run >= TAU_RUN { self.tau } else { 0.0 };
-        self.tau = ((j + 1) as f64 * width).max(raised);
-        Some(expected[j])
+        let raised =
+            if self.consecutive_timeouts >= TIMEOUTS_TO_DOUBLE_TAU { self.retry_timeout } else { 0.0 };
+        self.retry_timeout = ((bucket + 1) as f64 * width).max(raised);
+        Some(expected[bucket])
     }
 
-    /// Guards against a slow spell past τ, where (6) sees no density: a run of planned resends unanswered
-    /// doubles τ; least Ê brings it down. Harms where most calls are dropped: resends come late.
-    pub(super) fn unanswered(&mut self, planned: bool) {
+    /// Records a call without a response. A run of calls that time out at τ doubles τ, since condition (6) sees no
+    /// density past τ when the destination becomes slower; the least Ê lowers it again. The cost: where most calls are
+    /// dropped, retries come late.
+    pub(super) fn record_no_response(&mut self, retry_planned: bool) {
         self.unanswered += 1.0;
-        self.run += u32::from(planned);
-        if planned && self.run.is_multiple_of(TAU_RUN) {
-            self.tau *= 2.0;
+        self.consecutive_timeouts += u32::from(retry_planned);
+        if retry_planned && self.consecutive_timeouts.is_multiple_of(TIMEOUTS_TO_DOUBLE_TAU) {
+            self.retry_timeout *= 2.0;
         }
     }
 }
--- a/src/policy/timeouts_tests.rs
+++ b/src/policy/timeouts_tests.rs
@@ -1,20 +1,20 @@
-//! The estimator against the paper's own figures, and against a slow spell.
+//! Tests of the retry timeout against the figures of the paper on restarts, and when a destination becomes slower.
 
-use super::AnswerTimes;
+use super::ResponseTimes;
 
-/// Failed exponential with rate 1, half of the calls never answered, cost of a resend 1: the paper gives
-/// τ* = 1.505 and E = 4.505. Times are scaled by a million.
+/// The paper's failed exponential distribution: response times of rate 1, half of the calls without a response, and a
+/// retry cost of 1. The paper gives τ* = 1.505 and E = 4.505. Times are scaled by a million.
 #[test]
 fn least_expected_time_matches_the_papers_failed_exponential() {
-    let mut times = AnswerTimes::default();
+    let mut times = ResponseTimes::default();
     let n = 1_000;
     for i in 0..n {
         let u = (f64::from(i) + 0.5) / f64::from(n);
-        times.answered(-(1.0 - u).ln() * 1e6);
+        times.record_response(-(1.0 - u).ln() * 1e6);
     }
     times.unanswered = f64::from(n);
-    let expected = times.retune(1e6).unwrap() / 1e6;
-    let tau = times.tau / 1e6;
+    let expected = times.update_retry_timeout(1e6).unwrap() / 1e6;
+    let tau = times.retry_timeout / 1e6;
     assert!(
         (tau - 1.505).abs() <= 1.5 * times.histogram.width() / 1e6,
         "tau {tau}, buckets of {}",
@@ -23,41 +23,45 @@
     assert!((expected - 4.505).abs() < 0.1, "expected {expected}");
 }
 
-/// A slow spell pushes every answer past τ: τ must rise without any answer coming in.
+/// When a destination becomes slower, every response comes after τ: τ must rise although no response is recorded.
 #[test]
-fn a_run_of_planned_resends_without_an_answer_raises_tau() {
-    let mut times = AnswerTimes::default();
+fn consecutive_timeouts_raise_the_retry_timeout() {
+    let mut times = ResponseTimes::default();
     for i in 0..100 {
-        times.answered(100_000.0 + f64::from(i) * 100.0);
+        times.record_response(100_000.0 + f64::from(i) * 100.0);
     }
-    times.retune(times.least());
-    let before = times.tau;
+    times.update_retry_timeout(times.shortest());
+    let before = times.retry_timeout;
     for _ in 0..6 {
-        times.unanswered(true);
-        times.retune(times.least());
+        times.record_no_response(true);
+        times.update_retry_timeout(times.shortest());
     }
-    assert!(times.tau >= 4.0 * before, "from {before} to {}", times.tau);
+    assert!(times.retry_timeout >= 4.0 * before, "from {before} to {}", times.retry_timeout);
     for _ in 0..300 {
-        times.answered(300_000.0);
+        times.record_response(300_000.0);
     }
-    times.retune(times.least());
-    assert!(times.tau >= 300_000.0 && times.tau < 4.0 * before, "settled at {}", times.tau);
+    times.update_retry_timeout(times.shortest());
+    assert!(
+        times.retry_timeout >= 300_000.0 && times.retry_timeout < 4.0 * before,
+        "settled at {}",
+        times.retry_timeout
+    );
 }
 
-/// Re-laying the buckets, wider or narrower, keeps counts and means.
+/// A change of the bucket width, up or down, keeps counts and means.
 #[test]
-fn relaying_buckets_loses_nothing() {
-    let mut times = AnswerTimes::default();
+fn changing_the_bucket_width_keeps_counts_and_means() {
+    let mut times = ResponseTimes::default();
     for i in 1..=1000 {
-        times.answered(f64::from(i) * 10.0);
+        times.record_response(f64::from(i) * 10.0);
     }
     let mean = times.mean();
-    times.answered(900_000.0);
+    times.record_response(900_000.0);
     let total = times.histogram.total();
     assert!((total - 1001.0).abs() < 1e-6);
     assert!((times.mean() * 1001.0 - (mean * 1000.0 + 900_000.0)).abs() < 1.0);
     let width = times.histogram.width();
-    times.age(1.0);
+    times.decay(1.0);
     assert!(times.histogram.width() < width);
     assert!((times.histogram.total() - 1001.0).abs() < 1e-6);
 }
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,4 +1,5 @@
-//! Random numbers that are the same for the same seed, also after a state transfer.
+//! A random number generator whose state is part of the policy's state: the same seed gives the same numbers, also
+//! after a state transfer.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,12 +10,12 @@
 }
 
 impl Random {
-    /// Seeds that lie near each other give numbers that do not, from the first on.
+    /// Mixes the seed, so that similar seeds give unrelated numbers from the first one on.
     pub fn new(seed: u64) -> Random {
         Random { state: fastrand::Rng::with_seed(seed).u64(1..) }
     }
 
-    /// The next number, from 0 to below 1.
+    /// The next number, at least 0 and below 1.
     pub fn next(&mut self) -> f64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
--- a/src/response_time_histogram.rs
+++ b/src/response_time_histogram.rs
@@ -1,33 +1,33 @@
-//! A histogram of answer times that ages and rescales itself.
+//! A histogram of response times with exponential decay and adaptive bucket width.
 
 use serde::{Deserialize, Serialize};
 
-/// Buckets of a histogram: a step is a few percent of the longest answer time.
+/// Number of buckets: the width of a bucket is a few percent of the longest response time.
 pub(crate) const BUCKETS: usize = 32;
 /// Width of a bucket before anything is recorded, in microseconds.
-const FIRST_WIDTH: f64 = 1000.0;
-/// Weight of a bucket, in answers, below which it has faded.
-pub(crate) const FADED: f64 = 0.05;
-/// Share of the answers in the upper half of the buckets below which the buckets become narrower.
-const UPPER_HALF_EMPTY: f64 = 0.02;
-
-/// Answer times in microseconds, by buckets of equal width. Each bucket keeps the sum of its times, so that its mean is
-/// exact whatever its width.
+const INITIAL_WIDTH_MICROS: f64 = 1000.0;
+/// Weight in responses up to which what was recorded counts as faded.
+pub(crate) const FADED_WEIGHT: f64 = 0.05;
+/// Share of the responses in the upper half of the buckets below which the buckets become narrower.
+const EMPTY_UPPER_HALF_SHARE: f64 = 0.02;
+
+/// Response times in microseconds, in buckets of equal width. Each bucket keeps the sum of its times, so that its mean
+/// is exact whatever the width.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct AnswerHistogram {
+pub(crate) struct ResponseTimeHistogram {
     width: f64,
     counts: [f64; BUCKETS],
     sums: [f64; BUCKETS],
 }
 
-impl Default for AnswerHistogram {
+impl Default for ResponseTimeHistogram {
     fn default() -> Self {
-        AnswerHistogram { width: FIRST_WIDTH, counts: [0.0; BUCKETS], sums: [0.0; BUCKETS] }
+        ResponseTimeHistogram { width: INITIAL_WIDTH_MICROS, counts: [0.0; BUCKETS], sums: [0.0; BUCKETS] }
     }
 }
 
-impl AnswerHistogram {
-    /// Counts one answer. Where the buckets do not reach to it, their width doubles and neighbours merge.
+impl ResponseTimeHistogram {
+    /// Counts one response. If its time is beyond the last bucket, the width doubles and neighbours merge until it fits.
     pub fn record(&mut self, took: f64) {
         while took >= self.width * BUCKETS as f64 {
             self.merge_neighbours();
@@ -45,21 +45,25 @@
         self.width *= 2.0;
     }
 
-    /// Multiplies all counts by `keep`. Once the upper half has emptied, the width halves, unless the buckets would no
-    /// longer reach to `reach`.
-    pub fn age(&mut self, keep: f64, reach: f64) {
+    /// Multiplies all counts by `keep`. Once the upper half of the buckets is almost empty, the width halves, unless the
+    /// buckets would no longer cover `reach`.
+    pub fn decay(&mut self, keep: f64, reach: f64) {
         for value in self.counts.iter_mut().chain(self.sums.iter_mut()) {
             *value *= keep;
         }
         let total = self.total();
         let upper: f64 = self.counts[BUCKETS / 2..].iter().sum();
         let half = (BUCKETS / 2) as f64;
-        if total > 1.0 && upper < UPPER_HALF_EMPTY * total && self.width > 1.0 && reach < half * self.width {
+        if total > 1.0
+            && upper < EMPTY_UPPER_HALF_SHARE * total
+            && self.width > 1.0
+            && reach < half * self.width
+        {
             self.halve_width();
         }
     }
 
-    /// Moves the contents of each bucket to the narrower one in which its mean lies.
+    /// Moves the contents of each bucket to the narrower bucket that holds its mean.
     fn halve_width(&mut self) {
         let (counts, sums) = (self.counts, self.sums);
         (self.counts, self.sums, self.width) = ([0.0; BUCKETS], [0.0; BUCKETS], self.width / 2.0);
@@ -75,40 +79,40 @@
         self.width
     }
 
-    /// Answers counted in a bucket, aged.
+    /// Decayed number of responses in a bucket.
     pub fn count(&self, bucket: usize) -> f64 {
         self.counts[bucket]
     }
 
-    /// Sum of the answer times in a bucket, aged.
+    /// Decayed sum of the response times in a bucket.
     pub fn sum(&self, bucket: usize) -> f64 {
         self.sums[bucket]
     }
 
-    /// Answers counted, aged.
+    /// Decayed number of all responses.
     pub fn total(&self) -> f64 {
         self.counts.iter().sum()
     }
 
-    /// Whether a bucket still weighs.
-    pub fn weighs(&self, bucket: usize) -> bool {
-        self.counts[bucket] > FADED
+    /// Whether the contents of a bucket have not faded.
+    pub fn has_weight(&self, bucket: usize) -> bool {
+        self.counts[bucket] > FADED_WEIGHT
     }
 
-    /// Mean answer time, 0 before the first.
+    /// Mean response time, 0 before the first response.
     pub fn mean(&self) -> f64 {
         self.sums.iter().sum::<f64>() / self.total().max(1e-9)
     }
 
-    /// Mean of the first bucket that weighs: the least time an answer takes.
-    pub fn least(&self) -> f64 {
-        let first = (0..BUCKETS).find(|bucket| self.weighs(*bucket));
+    /// The shortest usual response time: the mean of the first bucket that has not faded.
+    pub fn shortest(&self) -> f64 {
+        let first = (0..BUCKETS).find(|bucket| self.has_weight(*bucket));
         first.map_or(0.0, |bucket| self.sums[bucket] / self.counts[bucket])
     }
 
-    /// Upper edge of the last bucket that weighs.
+    /// The longest usual response time: the upper edge of the last bucket that has not faded.
     pub fn longest(&self) -> f64 {
-        let last = (0..BUCKETS).rev().find(|bucket| self.weighs(*bucket));
+        let last = (0..BUCKETS).rev().find(|bucket| self.has_weight(*bucket));
         last.map_or(0.0, |bucket| (bucket + 1) as f64 * self.width)
     }
 }
--- a/src/route_table.rs
+++ b/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes of active destinations, each under a number that stays while the route is there.
+//! Routes of active destinations. The index of a route stays the same as long as the route exists.
 
 use crate::listing::ListingOrder;
 use crate::state::Route;
@@ -6,65 +6,64 @@
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// Routes by number. The number of one that was removed is given to a later one. They are gone over in the order in
-/// which their first endpoints were listed, whenever they were made.
+/// Routes by index. The index of a removed route is reused for a later one. Where the order matters, routes are visited
+/// in the order in which their first endpoints were listed, regardless of when their state was created.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct RouteTable {
     routes: Vec<Route>,
-    unused: Vec<usize>,
-    by_order: BTreeMap<ListingOrder, usize>,
+    free: Vec<usize>,
+    by_listing_order: BTreeMap<ListingOrder, usize>,
 }
 
 impl RouteTable {
-    /// Takes a route in and gives its number.
+    /// Adds a route and returns its index.
     pub fn insert(&mut self, route: Route) -> usize {
-        let number = self.unused.pop().unwrap_or(self.routes.len());
-        self.by_order.insert(route.order, number);
-        if number < self.routes.len() {
-            self.routes[number] = route;
+        let index = self.free.pop().unwrap_or(self.routes.len());
+        self.by_listing_order.insert(route.listing_order, index);
+        if index < self.routes.len() {
+            self.routes[index] = route;
         } else {
             self.routes.push(route);
         }
-        number
+        index
     }
 
-    /// Takes a route out.
-    pub fn remove(&mut self, number: usize) -> Route {
-        let route = std::mem::take(&mut self.routes[number]);
-        self.by_order.remove(&route.order);
-        self.unused.push(number);
+    pub fn remove(&mut self, index: usize) -> Route {
+        let route = std::mem::take(&mut self.routes[index]);
+        self.by_listing_order.remove(&route.listing_order);
+        self.free.push(index);
         route
     }
 
-    /// All routes, in the order in which they lie in memory.
+    /// All routes in the order of their indices, with empty ones at the indices that are free.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Route> {
         self.routes.iter_mut()
     }
 
-    /// The numbers of the routes with calls out, in the order in which their first endpoints were listed.
-    pub fn numbers_with_calls(&self) -> Vec<usize> {
-        let called = self.routes.iter().enumerate().filter(|(_, route)| !route.calls.is_empty());
-        let mut numbers: Vec<usize> = called.map(|(number, _)| number).collect();
-        numbers.sort_unstable_by_key(|number| self.routes[*number].order);
-        numbers
+    /// Indices of the routes with calls in flight, in the order in which their first endpoints were listed.
+    pub fn indices_with_calls(&self) -> Vec<usize> {
+        let with_calls = self.routes.iter().enumerate().filter(|(_, route)| !route.calls.is_empty());
+        let mut indices: Vec<usize> = with_calls.map(|(index, _)| index).collect();
+        indices.sort_unstable_by_key(|index| self.routes[*index].listing_order);
+        indices
     }
 
     /// How many routes there are.
     pub fn len(&self) -> usize {
-        self.by_order.len()
+        self.by_listing_order.len()
     }
 }
 
 impl Index<usize> for RouteTable {
     type Output = Route;
 
-    fn index(&self, number: usize) -> &Route {
-        &self.routes[number]
+    fn index(&self, index: usize) -> &Route {
+        &self.routes[index]
     }
 }
 
 impl IndexMut<usize> for RouteTable {
-    fn index_mut(&mut self, number: usize) -> &mut Route {
-        &mut self.routes[number]
+    fn index_mut(&mut self, index: usize) -> &mut Route {
+        &mut self.routes[index]
     }
 }
