--- a/src/activation.rs
+++ b/src/activation.rs
@@ -1,5 +1,5 @@
-//! Creates the state of destinations, routes and endpoints when a destination becomes active, and drops it again.
-//! `policy/idleness.rs` decides when it may be dropped.
+//! Creates the state of destinations, routes and endpoints when a destination becomes active, and drops it
+//! again. `policy/idleness.rs` decides when it may be dropped.
 
 use crate::interface::*;
 use crate::policy::{DeliveryPolicy, MAX_RETRY_BUDGET};
@@ -41,7 +41,8 @@
                 .copied()
                 .filter(|_| own_route)
                 .unwrap_or(0.0);
-            // The random initial tokens keep replicas that start together from making their first calls together.
+            // The random initial tokens keep replicas that start together from making their first calls
+            // together.
             let new =
                 Route { window: 1.0, retry_budget: MAX_RETRY_BUDGET, fee, ..Route::listed(id, &endpoint) };
             destination.routes.push(self.routes.insert(new));
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Drops state that is no longer needed, in one of several rounds of maintenance: a search in each round would cost
-    /// more than keeping the state a little longer.
+    /// Drops state that is no longer needed, in one of several rounds of maintenance: a search in each round
+    /// would cost more than keeping the state a little longer.
     pub(crate) fn drop_inactive_periodically(&mut self) {
         self.rounds_since_cleanup += 1;
         if self.rounds_since_cleanup >= ROUNDS_BETWEEN_CLEANUPS {
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Drops the state of an endpoint, and of its route if that has no other endpoint and is not the only route of the
-    /// destination. The only route stays, since endpoints that are listed later share it.
+    /// Drops the state of an endpoint, and of its route if that has no other endpoint and is not the only
+    /// route of the destination. The only route stays, since endpoints that are listed later share it.
     fn deactivate_endpoint(&mut self, id: TargetId) {
         let Some(Target { route: route_index, .. }) = self.targets.remove(&id) else { return };
         let route = &mut self.routes[route_index];
--- a/src/destinations.rs
+++ b/src/destinations.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Active destinations by number, and indexes of those with messages ready to be sent. A destination is active from its
-/// first message on, until it is idle and has no state that must be kept.
+/// Active destinations by number, and indexes of those with messages ready to be sent. A destination is
+/// active from its first message on, until it is idle and has no state that must be kept.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Destinations {
     all: BTreeMap<DestinationId, Destination>,
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Makes a blocked destination sendable again. Must be called whenever the time until which it is blocked may have
-    /// changed.
+    /// Makes a blocked destination sendable again. Must be called whenever the time until which it is blocked
+    /// may have changed.
     pub fn unblock(&mut self, id: DestinationId) {
         if let Some(until) = self.blocked_until.remove(&id) {
             self.unblock_times.remove(&(until, id));
--- a/src/endpoint_counts.rs
+++ b/src/endpoint_counts.rs
@@ -4,8 +4,8 @@
 use crate::policy::DeliveryPolicy;
 
 impl DeliveryPolicy {
-    /// Counts the listed endpoints, and those of them that get no calls at present: disabled by an operator, ejected
-    /// after a failure, or behind an open circuit breaker.
+    /// Counts the listed endpoints, and those of them that get no calls at present: disabled by an operator,
+    /// ejected after a failure, or behind an open circuit breaker.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let disabled = self.disabled.iter().filter(|id| self.is_listed(**id)).count();
         let listed = self.targets.iter().filter(|(_, target)| target.state != EndpointState::Removed);
@@ -21,7 +21,8 @@
         self.listing.is_listed(target)
     }
 
-    /// Number of routes that have state at present: those of destinations that hold messages or have state to keep.
+    /// Number of routes that have state at present: those of destinations that hold messages or have state to
+    /// keep.
     pub fn active_route_count(&self) -> usize {
         self.routes.len()
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,32 +1,34 @@
-//! What goes into the decision module and what comes out: settings, events, actions.
+//! The interface of the delivery policy: its settings, the events that it processes and the actions that it
+//! requests.
 //!
-//! A forwarder that embeds [`crate::DeliveryPolicy`] does this in a loop: pass each thing that happened to
-//! `handle`, call `decide` after the last one of that moment, carry out the actions in their order.
-//! All times are microseconds of one clock that only advances; it may start anywhere.
+//! A forwarder that embeds [`crate::DeliveryPolicy`] runs a loop: it passes each event to `handle`, calls
+//! `decide` after the last event of a moment, and carries out the actions in their order. All times are
+//! microseconds of one monotonic clock with an arbitrary start.
 
 use serde::{Deserialize, Serialize};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
-/// Aim and deadline where the settings name no class, in microseconds.
-const DEFAULT_AIM: Micros = 1_000_000;
-const DEFAULT_DEADLINE: Micros = 100_000;
-/// A message, named by the caller; never used twice.
+/// Aim that is assumed where the settings have no class.
+const DEFAULT_AIM_MICROS: Micros = 1_000_000;
+/// Deadline that is assumed where the settings have no class.
+const DEFAULT_DEADLINE_MICROS: Micros = 100_000;
+/// A message, numbered by the caller. No number is used twice.
 pub type MessageId = u64;
-/// An endpoint of a destination, named by the caller.
+/// An endpoint of a destination, numbered by the caller.
 pub type TargetId = u32;
-/// A destination: a partner with one or more endpoints.
+/// A destination: a system of a partner with one or more endpoints, numbered by the caller.
 pub type DestinationId = u32;
 
-/// What a repeat of a message of a class does.
+/// Whether a message of a class may be sent again after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum RetrySafety {
-    /// May be repeated at will.
+    /// It may be repeated any number of times.
     #[default]
     Repeatable,
-    /// The destination drops repeats for a time.
+    /// It may be repeated while the destination deduplicates: it drops repeats of a key for some time.
     Keyed,
-    /// Must never take effect twice.
+    /// It must never take effect twice.
     Unsafe,
 }
 
@@ -36,140 +38,142 @@
     /// All of them.
     #[default]
     All,
-    /// Those in the zone of the first attempt that may have run.
+    /// Those in the zone of the first attempt that may have been executed.
     Zone,
 }
 
-/// How worth falls once the aim has passed.
+/// How the worth of a message decays once its aim has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WorthDecay {
-    /// Evenly, down to the late value at the deadline.
+    /// Linearly, down to the late value at the deadline.
     #[default]
     Linear,
-    /// By half with each further aim, not under the late value.
+    /// It halves with each further aim, but does not fall below the late value.
     Halving,
 }
 
 /// A class of message.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Delivered within this span a message earns its full worth.
+    /// Span within which a message earns its full worth.
     pub aim: Micros,
-    /// Span in which a message may be delivered.
+    /// Span within which a message may be delivered.
     pub deadline: Micros,
-    /// What a delivery is worth.
+    /// Worth of a delivery within the aim.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the worth that is left at the deadline.
     pub late_value: f64,
-    /// What a repeat does.
+    /// Whether its messages may be sent again.
     pub retry_safety: RetrySafety,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: the endpoints that drop repeats.
     pub deduplication_scope: DeduplicationScope,
-    /// For keyed classes: how long, from the first attempt that may have run.
+    /// For keyed classes: how long repeats are dropped after the first attempt that may have been executed.
     pub deduplication_window: Micros,
-    /// Messages with the same order key go one at a time, as they came.
+    /// Messages with the same order key are sent one at a time, in the order of their arrival.
     pub in_order: bool,
-    /// Answers come as streams: an attempt whose stream began belongs to the client.
+    /// Responses are streams: once the stream of an attempt has begun, the message is not retried.
     pub streaming: bool,
 }
 
-/// Figures of the rules that a deployment promises to keep.
+/// What the deployment guarantees to destinations, and may assume of them.
 #[derive(Clone, Debug, Default)]
 pub struct DestinationContract {
-    /// A drained or removed endpoint gets nothing new after this span.
+    /// Span after which a drained or removed endpoint gets no new calls.
     pub drain_grace: Micros,
-    /// Share of its capacity that a destination has at least on return from an outage.
+    /// Least share of its capacity that a destination has when it returns from an outage.
     pub cold_capacity_share: f64,
-    /// Span after which it has all of it.
+    /// Span after which it has its full capacity again.
     pub ramp_time: Micros,
-    /// Load of more than this multiple of the present capacity ...
+    /// Multiple of its current capacity above which load brings a cold destination down.
     pub overload_factor: f64,
-    /// ... for this long brings a cold destination down.
+    /// How long such a load must last to bring it down.
     pub overload_duration: Micros,
-    /// Rest of an order key after an attempt whose end is not sure.
+    /// Pause of an order key after an attempt that may still be executed.
     pub order_pause: Micros,
-    /// Where the list is fetched: a sender that has not asked for so long counts as told.
+    /// Where the list is fetched: a replica that has not asked for it within this span counts as informed of
+    /// changes.
     pub max_list_poll_interval: Micros,
 }
 
-/// What the list says of a destination's rate.
+/// What the rate in the list tells of a destination's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum ListedRate {
     /// Nothing.
     #[default]
     Unknown,
-    /// Calls a second that the destination takes from all senders together.
+    /// Calls a second that the destination accepts from all replicas together.
     Exact,
     /// The same, but up to half too high or too low.
     Rough,
 }
 
-/// All that a sender is told at its start.
+/// The settings of a replica.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Senders that share the destinations, this one included.
+    /// Replicas that share the destinations, including this one.
     pub replicas: u32,
-    /// Calls that may be out at once.
+    /// Calls that may be in flight at once.
     pub slots: u32,
-    /// Messages that may be held, sent or not.
+    /// Messages that may be held, whether they have been sent or not.
     pub max_held: u32,
-    /// Attempts for one message at most.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// An attempt may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Checks may be sent.
+    /// Health checks may be sent.
     pub may_probe: bool,
-    /// Two attempts of one message may be out at once.
+    /// Two attempts of one message may be in flight at once.
     pub may_duplicate: bool,
-    /// Refused clients are told how long to stay away.
+    /// Refused clients are told how long to wait.
     pub may_send_retry_after: bool,
-    /// Longest advice that clients heed.
+    /// Longest wait that clients obey.
     pub max_retry_after: Micros,
-    /// The list must be subscribed to.
+    /// Updates of the list are sent only after a subscription.
     pub subscribe_to_discovery: bool,
-    /// Classes of message; requests name their place.
+    /// Classes of message; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// How worth falls after the aim.
+    /// How worth decays after the aim.
     pub decay: WorthDecay,
-    /// The rules' figures.
+    /// The contract with destinations.
     pub contract: DestinationContract,
-    /// By kind of destination: messages that one call carries at most.
+    /// By kind of destination: maximum number of messages in one call.
     pub batch_by_kind: Vec<u32>,
-    /// By kind of destination: endpoints are routes apart, each with its own limit, pace and outages.
+    /// By kind of destination: each endpoint is a route of its own, with its own limit, rate limit and
+    /// circuit breaker.
     pub route_per_endpoint: Vec<bool>,
-    /// By zone: price of a message that a route apart takes on.
+    /// By zone: price of a message that goes over a route with a single endpoint, in mean worths.
     pub zone_fee: Vec<f64>,
-    /// Price of a call refused above a limit.
+    /// Price of a call that is rejected because of a limit.
     pub refused_price: f64,
     /// Meaning of [`Endpoint::rate`].
     pub listed_rate: ListedRate,
-    /// Idle connections close after this span.
+    /// Span after which idle connections are closed.
     pub connection_idle_timeout: Micros,
-    /// A connection not made within this span has failed.
+    /// Span after which an attempt to connect has failed.
     pub connect_timeout: Micros,
     /// Calls that one connection carries at once.
     pub streams_per_connection: u32,
-    /// Shortest span between two moments at which events arrive.
+    /// Shortest span between two moments at which events are passed in.
     pub tick: Micros,
 }
 
 impl Settings {
     /// The shortest aim of all classes, in microseconds.
     pub(crate) fn shortest_aim(&self) -> f64 {
-        self.classes.iter().map(|class| class.aim).min().unwrap_or(DEFAULT_AIM) as f64
+        self.classes.iter().map(|class| class.aim).min().unwrap_or(DEFAULT_AIM_MICROS) as f64
     }
 
     /// The longest deadline of all classes, in microseconds.
     pub(crate) fn longest_deadline(&self) -> f64 {
-        self.classes.iter().map(|class| class.deadline).max().unwrap_or(DEFAULT_DEADLINE).max(1) as f64
+        self.classes.iter().map(|class| class.deadline).max().unwrap_or(DEFAULT_DEADLINE_MICROS).max(1) as f64
     }
 
-    /// What a message of a class is worth on the mean.
+    /// The mean worth of the classes.
     pub(crate) fn mean_worth(&self) -> f64 {
         self.classes.iter().map(|class| class.worth).sum::<f64>() / self.classes.len() as f64
     }
 
-    /// What a message of the class of most worth earns.
+    /// The greatest worth of any class.
     pub(crate) fn max_worth(&self) -> f64 {
         self.classes.iter().map(|class| class.worth).fold(0.0, f64::max)
     }
@@ -188,276 +192,278 @@
     }
 }
 
-/// State of an endpoint in the list, in the order in which it leaves. It tells nothing of health.
+/// State of an endpoint in the list, in the order in which an endpoint leaves. It is independent of its
+/// health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// Listed.
+    /// Accepts calls.
     #[default]
     Ready,
-    /// Send nothing new.
+    /// Gets no new calls.
     Draining,
-    /// Removed.
+    /// No longer in the list.
     Removed,
 }
 
-/// A line of the list.
+/// An entry of the list: one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Its name.
+    /// Its number.
     pub target: TargetId,
     /// The destination it belongs to.
     pub destination: DestinationId,
-    /// The destination's kind, a place in the settings' lists by kind.
+    /// Kind of the destination, an index into the settings by kind.
     pub kind: u32,
-    /// The zone it stands in.
+    /// Zone in which it runs.
     pub zone: u32,
-    /// Its state.
+    /// Its state in the list.
     pub state: EndpointState,
-    /// See [`ListedRate`].
+    /// Listed rate in calls a second; [`ListedRate`] gives its meaning.
     pub rate: f64,
 }
 
-/// How a list event relates to the list so far.
+/// How a list event relates to the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
-    /// The whole list; what it lacks is gone.
+    /// The whole list: endpoints that it lacks are removed.
     Full,
-    /// The whole list as last known before a restart, perhaps outdated.
+    /// The whole list as last known before a restart, possibly outdated.
     Cached,
-    /// A fetch or subscription failed; the list so far stays.
+    /// A fetch or subscription has failed; the current list stays.
     Failed,
 }
 
-/// How many endpoints there are.
+/// Counts of endpoints, as operators see them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Those in the list.
+    /// Endpoints in the list.
     pub listed: usize,
-    /// Those of them that are avoided now, by hand or by choice.
+    /// Those of them that get no calls now: disabled by an operator, or avoided by the policy.
     pub ejected: usize,
 }
 
-/// End of an attempt or a probe.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// Answered with an error; may have taken effect.
+    /// Error response; may have been executed.
     Error,
-    /// Turned away unseen: over a limit, queue full, shut or draining.
+    /// Rejected without being executed: over a limit, queue full, closed or draining.
     Rejected,
-    /// No answer in time; may have taken effect or still do.
+    /// No response in time; may have been executed or still be.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection was made; never executed.
     ConnectFailed,
-    /// The connection broke; may have taken effect.
+    /// The connection was lost; may have been executed.
     Reset,
-    /// Called off; may have taken effect.
+    /// Cancelled; may have been executed.
     Cancelled,
-    /// Not sent at all: no slot, message over, or out of attempts.
+    /// Not sent at all: no slot, the message has ended, or no attempts are left.
     NotSent,
-    /// A new connection was turned away by an endpoint that is up: it has as many as it takes, idle ones counted.
-    /// Never ran.
+    /// A new connection was rejected by an endpoint that is up, since it has as many as it accepts, including
+    /// idle ones; never executed.
     TooManyConnections,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt was never executed.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
         matches!(self, Rejected | ConnectFailed | NotSent | TooManyConnections)
     }
 }
 
-/// What a destination tells of its limit beside an answer; some time old and not exact.
+/// What a destination reports of its limit with a response: not exact, and outdated by some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// Share of the allowance that is left.
     pub share_left: f64,
-    /// Calls a second that the limit allows, 0 where there is none.
+    /// Calls a second that the limit allows, 0 if there is no limit.
     pub rate: f64,
 }
 
-/// Something that happened.
+/// An event that the caller passes to the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of endpoints.
+    /// An update of the endpoint list.
     List {
-        /// How it relates to the list so far.
+        /// How it relates to the current list.
         kind: ListKind,
-        /// Grows with each change.
+        /// Increases with each change.
         version: u32,
-        /// The lines.
+        /// Its entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A message was handed in.
+    /// A client has submitted a message.
     Request {
-        /// Its name.
+        /// Its number.
         id: MessageId,
-        /// Its class.
+        /// Index of its class.
         class: u32,
-        /// Where it is to go.
+        /// Destination to which it is to be delivered.
         destination: DestinationId,
-        /// Key of its order, 0 for none.
+        /// Its order key, 0 for none.
         order_key: u64,
-        /// It may be delivered until then.
+        /// End of the time in which it may be delivered.
         expires: Micros,
     },
-    /// A message that was taken on before a restart and is not over; in the order in which they were taken.
+    /// A message that was accepted before a restart and has not ended. Restored messages are passed in the
+    /// order in which they were accepted.
     Restored {
-        /// Its name.
+        /// Its number.
         id: MessageId,
-        /// Its class.
+        /// Index of its class.
         class: u32,
-        /// Where it is to go.
+        /// Destination to which it is to be delivered.
         destination: DestinationId,
-        /// Key of its order, 0 for none.
+        /// Its order key, 0 for none.
         order_key: u64,
-        /// It may be delivered until then; perhaps in the past.
+        /// End of the time in which it may be delivered, possibly in the past.
         expires: Micros,
-        /// How the attempts so far ended. One that was cut off by the restart counts as [`Outcome::Reset`].
+        /// Outcomes of its attempts. One that the restart cut off counts as [`Outcome::Reset`].
         attempts: Vec<Outcome>,
-        /// Start and zone of the first attempt that may have run.
+        /// Start and zone of the first attempt that may have been executed.
         first_run: Option<(Micros, u32)>,
     },
-    /// An operator takes an endpoint out, or puts it back.
+    /// An operator disables an endpoint, or enables it again.
     EndpointAdminState {
-        /// Which one.
+        /// The endpoint.
         target: TargetId,
-        /// Out, until the call that puts it back.
+        /// Whether it is disabled from now on.
         disabled: bool,
     },
-    /// What is decided is carried out late, and what happens is told late: ends are decided so much earlier.
+    /// Actions are carried out late and events are passed in late. Messages are given up earlier by that lag.
     ProcessingLag {
-        /// By so much; 0 where it is in time.
+        /// The lag, 0 if there is none.
         lag: Micros,
     },
-    /// The process is to end: calls that are out then are cut off.
+    /// The process is about to exit. Calls in flight then are cut off.
     Shutdown {
-        /// The time of its end.
+        /// Time of the exit.
         at: Micros,
     },
-    /// The answer of a streamed message has begun.
+    /// The response stream of a message has begun.
     StreamStarted {
         /// The message.
         id: MessageId,
         /// Its attempt, from 0.
         attempt: u32,
     },
-    /// An attempt is over. Each [`Action::Send`] gets exactly one.
+    /// An attempt has ended. Each [`Action::Send`] leads to exactly one such event.
     AttemptEnded {
         /// The message.
         id: MessageId,
         /// Its attempt, from 0.
         attempt: u32,
-        /// Where it went.
+        /// Endpoint to which it was sent.
         target: TargetId,
         /// How it ended.
         outcome: Outcome,
         /// Span since it was sent.
         took: Micros,
-        /// The message is over, by this or earlier.
+        /// The message has ended, with this attempt or before.
         message_ended: bool,
-        /// For [`Outcome::Rejected`]: the wait told, 0 for none.
+        /// For [`Outcome::Rejected`]: the wait that the destination asks for, 0 for none.
         retry_after: Micros,
-        /// What the destination tells of its limit.
+        /// What the destination reports of its limit.
         report: Option<LimitReport>,
     },
-    /// A probe is over.
+    /// A health check has ended.
     ProbeEnded {
-        /// Where it went.
+        /// Endpoint to which it was sent.
         target: TargetId,
         /// How it ended.
         outcome: Outcome,
         /// Span since it was sent.
         took: Micros,
-        /// What the destination tells of its limit.
+        /// What the destination reports of its limit.
         report: Option<LimitReport>,
     },
-    /// Nobody wants this message any more.
+    /// The client no longer waits for this message.
     Abandoned {
         /// The message.
         id: MessageId,
     },
-    /// A timer asked for is due.
+    /// A requested timer has fired.
     Timer {
-        /// As asked for.
+        /// Token of the request.
         token: u32,
     },
-    /// Another sender wrote; where senders may talk.
+    /// A message from another replica, where replicas may communicate.
     PeerMessage {
-        /// Its rank.
+        /// Rank of the replica.
         from: u32,
-        /// What it wrote.
+        /// Content of the message.
         data: Vec<u8>,
     },
 }
 
-/// Something to be done, in the order given.
+/// An action that the policy requests. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call `target` with the message; drop the attempt at `until`.
+    /// Send the message to `target`. The attempt times out at `until`.
     Send {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// Endpoint to call.
         target: TargetId,
-        /// Time-out, as a point in time.
+        /// Point in time at which the attempt times out.
         until: Micros,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MessageId,
         /// Its attempt, from 0.
         attempt: u32,
     },
-    /// End the message undelivered; trying again is harmless.
+    /// End the message undelivered. The client may safely submit it again.
     Refuse {
         /// The message.
         id: MessageId,
-        /// Advice to the client on how long to stay away, 0 for none.
+        /// How long the client is told to wait, 0 for no such advice.
         retry_after: Micros,
     },
-    /// End the message as failed; nothing is promised.
+    /// End the message as failed. It may or may not have been delivered.
     Fail {
         /// The message.
         id: MessageId,
     },
-    /// Check an endpoint.
+    /// Send a health check to an endpoint.
     Probe {
-        /// Which one.
+        /// The endpoint.
         target: TargetId,
     },
-    /// Come back with [`Event::Timer`] after this span.
+    /// Request an [`Event::Timer`] after a span.
     Timer {
-        /// From now.
+        /// Span from now.
         after: Micros,
-        /// Comes back as given.
+        /// Returned with the event.
         token: u32,
     },
-    /// Shut idle connections to an endpoint.
+    /// Close idle connections to an endpoint.
     CloseIdle {
-        /// Which one.
+        /// The endpoint.
         target: TargetId,
     },
-    /// Subscribe to the list, or end that.
+    /// Subscribe to the list, or end the subscription.
     Subscribe {
-        /// On or off.
+        /// Whether to subscribe.
         on: bool,
     },
-    /// Ask once for the whole list.
+    /// Request the whole list once.
     FetchList,
-    /// Write to another sender, or to all.
+    /// Send a message to another replica, or to all.
     Tell {
-        /// Its rank; all others if absent.
+        /// Rank of the replica; all others if absent.
         to: Option<u32>,
         /// At most 256 bytes.
         data: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Log {
         /// The text.
         text: String,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,12 @@
-//! Delivery decisions for outbound messages to other firms' systems.
+//! Delivery policy for outbound messages to the systems of other companies.
 //!
-//! The caller owns sockets, clocks and threads. It tells a [`DeliveryPolicy`] what happens, as [`Event`]s, and
-//! carries out the [`Action`]s it gets back. One `DeliveryPolicy` serves one forwarder; several share nothing.
+//! The caller owns sockets, clocks and threads. It passes [`Event`]s to a [`DeliveryPolicy`] and carries out
+//! the [`Action`]s that it returns. Each forwarder has one `DeliveryPolicy`; the policies of several
+//! forwarders share no state.
 //!
 //! ```
-//! use hatchline::{Action, DeliveryPolicy, Class, RetrySafety, Endpoint, EndpointState, Event, ListKind, Settings};
+//! use hatchline::{Action, Class, DeliveryPolicy, Endpoint, EndpointState, Event, ListKind};
+//! use hatchline::{RetrySafety, Settings};
 //!
 //! let class = Class { aim: 2_000_000, deadline: 20_000_000, worth: 1.0, late_value: 0.5,
 //!     retry_safety: RetrySafety::Repeatable, ..Class::default() };
@@ -14,12 +16,13 @@
 //! let mut actions = Vec::new();
 //!
 //! let endpoint = Endpoint { target: 7, destination: 1, state: EndpointState::Ready, ..Endpoint::default() };
-//! policy.handle(0, Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint] }, &mut actions);
+//! let list = Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint] };
+//! policy.handle(0, list, &mut actions);
 //! let request = Event::Request { id: 1, class: 0, destination: 1, order_key: 0, expires: 20_000_000 };
 //! policy.handle(0, request, &mut actions);
-//! policy.decide(0, &mut actions); // after the last event of this moment
+//! policy.decide(0, &mut actions); // once after the last event of this moment
 //!
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, target: 7, .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { id: 1, target: 7, .. })));
 //! ```
 #![warn(missing_docs)]
 
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints in compact form: what discovery lists of each endpoint, and what the policy needs to create
-//! the endpoint's state later as if it had been created when the endpoint was first listed.
+//! The list of endpoints in compact form: what discovery lists of each endpoint, and what the policy needs to
+//! create the endpoint's state later as if it had been created when the endpoint was first listed.
 
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
@@ -42,8 +42,8 @@
     removed_at: BTreeMap<TargetId, Micros>,
     /// The same in the order of time.
     removed: BTreeSet<(Micros, TargetId)>,
-    /// Endpoints that were forgotten after their removal: a list of a lower version, which may still name them, does
-    /// not bring them back.
+    /// Endpoints that were forgotten after their removal: a list of a lower version, which may still name
+    /// them, does not bring them back.
     forgotten: BTreeSet<TargetId>,
 }
 
--- a/src/policy/disabled_endpoints.rs
+++ b/src/policy/disabled_endpoints.rs
@@ -3,12 +3,13 @@
 use super::*;
 
 impl DeliveryPolicy {
-    /// Disables or enables an endpoint. This is independent of the list: no change of the list enables an endpoint that
-    /// an operator has disabled. Connections made before are not used again, since the endpoint may be another process
-    /// by then.
+    /// Disables or enables an endpoint. This is independent of the list: no change of the list enables an
+    /// endpoint that an operator has disabled. Connections made before are not used again, since the endpoint
+    /// may be another process by then.
     pub(crate) fn set_disabled(&mut self, target: TargetId, disabled: bool) {
         if !disabled && self.disabled.remove(&target) {
-            // Its process may have been restarted meanwhile. That is recorded even if no message is held for it.
+            // Its process may have been restarted meanwhile. That is recorded even if no message is held for
+            // it.
             self.activate_destination_of(target);
             self.targets
                 .entry(target)
@@ -20,9 +21,9 @@
         self.actions.push(Action::CloseIdle { target });
     }
 
-    /// Whether an endpoint may get a call, apart from its health. One that was enabled and may be cold gets one call at
-    /// a time, spaced by its part of the load that this replica may send without overloading it, as in the slow start
-    /// of a destination. The cost: one that was warm gets few calls at first.
+    /// Whether an endpoint may get a call, apart from its health. One that was enabled and may be cold gets
+    /// one call at a time, spaced by its part of the load that this replica may send without overloading it,
+    /// as in the slow start of a destination. The cost: one that was warm gets few calls at first.
     pub(crate) fn accepts_calls(&self, id: TargetId, endpoint: &Target) -> bool {
         if endpoint.state != EndpointState::Ready || self.disabled.contains(&id) {
             return false;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl DeliveryPolicy {
-    /// Applies an update of the list. A full list removes the endpoints that it lacks; a cached one is only a start. One
-    /// of a lower version is late, or comes from another discovery service that counts anew: endpoints that it drains
-    /// or lacks get no calls, but it brings none back.
+    /// Applies an update of the list. A full list removes the endpoints that it lacks; a cached one is only a
+    /// start. One of a lower version is late, or comes from another discovery service that counts anew:
+    /// endpoints that it drains or lacks get no calls, but it brings none back.
     pub(super) fn apply_list(&mut self, kind: ListKind, version: u32, entries: Vec<Endpoint>) {
         if (kind == ListKind::Cached && self.settings.subscribe_to_discovery) || kind == ListKind::Failed {
             self.actions.push(Action::Subscribe { on: true });
--- a/src/policy/idleness.rs
+++ b/src/policy/idleness.rs
@@ -3,13 +3,14 @@
 use super::rates::exceeds_request_rate;
 use super::*;
 
-/// Share of the equal share of a known limit from which a rate limit that rejections have cut counts as recovered.
+/// Share of the equal share of a known limit from which a rate limit that rejections have cut counts as
+/// recovered.
 const RECOVERED_RATE_LIMIT_SHARE: f64 = 0.95;
 
 impl DeliveryPolicy {
-    /// Whether the state of a destination may be dropped: it holds no message and has no state that must be kept. The
-    /// next message creates its state anew, as at the listing. Disabled and draining endpoints are recorded in
-    /// `disabled` and in the listing, and are not affected.
+    /// Whether the state of a destination may be dropped: it holds no message and has no state that must be
+    /// kept. The next message creates its state anew, as at the listing. Disabled and draining endpoints are
+    /// recorded in `disabled` and in the listing, and are not affected.
     pub(crate) fn is_idle(&self, destination: &Destination) -> bool {
         destination.held == 0
             && destination.routes.iter().all(|route_index| !self.must_keep_route(*route_index))
@@ -18,9 +19,11 @@
     /// Whether the state of a route must be kept, because of its own state or that of its endpoints.
     fn must_keep_route(&self, route_index: usize) -> bool {
         let route = &self.routes[route_index];
-        // Calls in flight end here, and a wait that the destination asked for also binds endpoints listed later.
+        // Calls in flight end here, and a wait that the destination asked for also binds endpoints listed
+        // later.
         let is_bound = !route.calls.is_empty() || route.paused_until > self.now;
-        // A route without endpoints is out of the list: its other state describes endpoints that were removed.
+        // A route without endpoints is out of the list: its other state describes endpoints that were
+        // removed.
         is_bound
             || !route.targets.is_empty() && (self.is_degraded(route_index) || has_learned(route))
             || route.targets.iter().any(|id| self.must_keep_endpoint(&self.targets[id]))
@@ -28,14 +31,14 @@
 
     fn is_degraded(&self, route_index: usize) -> bool {
         let route = &self.routes[route_index];
-        // An open breaker and a slow start up to the end of its ramp: if each replica started anew, all messages held
-        // by the fleet would overload a destination that is out or cold.
+        // An open breaker and a slow start up to the end of its ramp: if each replica started anew, all
+        // messages held by the fleet would overload a destination that is down or cold.
         route.breaker != CircuitBreaker::Closed
             // The age of an incident spaces the probes, and unsafe messages avoid routes that fail.
             || route.incident_since.is_some()
             || route.failure_share > LOSSY_FAILURE_SHARE
-            // Rejections have cut the rate limit: a start at the equal share of a known limit, or with no rate limit,
-            // would be rejected again.
+            // Rejections have cut the rate limit: a start at the equal share of a known limit, or with no
+            // rate limit, would be rejected again.
             || route.rate_limit > 0.0
                 && route.rate_limit
                     < RECOVERED_RATE_LIMIT_SHARE * route.equal_share(self.settings.replicas)
@@ -64,9 +67,9 @@
         contract.drain_grace.max(contract.ramp_time).max(self.settings.longest_deadline() as Micros)
     }
 
-    /// Whether an endpoint that was removed that long ago may be forgotten: it has no call in flight, and its destination
-    /// has asked for no wait that still binds its route. Its number is kept: a list of a lower version does not bring it
-    /// back.
+    /// Whether an endpoint that was removed that long ago may be forgotten: it has no call in flight, and its
+    /// destination has asked for no wait that still binds its route. Its number is kept: a list of a lower
+    /// version does not bring it back.
     pub(crate) fn may_forget(&self, id: TargetId) -> bool {
         let Some(route) = self.targets.get(&id).map(|endpoint| &self.routes[endpoint.route]) else {
             return true;
@@ -75,8 +78,8 @@
     }
 }
 
-/// Whether the response times or the request rate of a route still have weight. They decay by half with each longest
-/// deadline: after one response this takes five of these spans, after fifty responses ten.
+/// Whether the response times or the request rate of a route still have weight. They decay by half with each
+/// longest deadline: after one response this takes five of these spans, after fifty responses ten.
 fn has_learned(route: &Route) -> bool {
     !route.response_times.has_faded() || route.recent_requests > FADED_WEIGHT
 }
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -19,10 +19,10 @@
         self.enqueue(id);
     }
 
-    /// Restores a message that was accepted before a restart. Calls that the restart cut off may still be executed, so
-    /// the order key pauses. A message that may not be sent again, such as an unsafe one that may have run, ends at once.
-    /// No restored message is given up to make room for others: it was accepted, whereas a new message can go to another
-    /// replica.
+    /// Restores a message that was accepted before a restart. Calls that the restart cut off may still be
+    /// executed, so the order key pauses. A message that may not be sent again, such as an unsafe one that
+    /// may have run, ends at once. No restored message is given up to make room for others: it was accepted,
+    /// whereas a new message can go to another replica.
     pub(super) fn restore_message(&mut self, id: MessageId, mut message: Message) {
         message.restored_unsent = message.attempts.is_empty();
         let in_order = self.settings.classes.get(message.class).is_some_and(|class| class.in_order);
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Gives up the message of least worth in the longest queue when there is little room left for new messages, so that
-    /// a backlog for one destination, whatever its cause, does not keep out the messages for all others. The cost: it
-    /// also hits a backlog that was about to be sent.
+    /// Gives up the message of least worth in the longest queue when there is little room left for new
+    /// messages, so that a backlog for one destination, whatever its cause, does not keep out the messages
+    /// for all others. The cost: it also hits a backlog that was about to be sent.
     pub(super) fn make_room(&mut self) {
         let room = (f64::from(self.settings.max_held) * FREE_MESSAGE_SHARE).ceil() as usize + 1;
         if self.messages.len() + room <= self.settings.max_held as usize {
@@ -77,9 +77,9 @@
         self.give_up_at(message.expires) <= self.now + self.processing_lag
     }
 
-    /// What is allowed next for a message by its class and the outcomes of its attempts: whether it may be sent, the
-    /// zone (plus one, 0 for any) to which it is bound, and whether it may be refused. This is the only place that
-    /// decides it.
+    /// What is allowed next for a message by its class and the outcomes of its attempts: whether it may be
+    /// sent, the zone (plus one, 0 for any) to which it is bound, and whether it may be refused. This is the
+    /// only place that decides it.
     pub(crate) fn allowed(&self, message: &Message) -> (bool, u32, bool) {
         let class = &self.settings.classes[message.class];
         let in_flight = message.attempts.iter().any(|attempt| attempt.outcome.is_none());
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Whether a retry sent now would arrive while its destination still deduplicates. Always true for classes other
-    /// than keyed ones.
+    /// Whether a retry sent now would arrive while its destination still deduplicates. Always true for
+    /// classes other than keyed ones.
     pub(super) fn in_deduplication_window(&self, message: &Message) -> bool {
         let class = &self.settings.classes[message.class];
         class.retry_safety != RetrySafety::Keyed
@@ -110,8 +110,8 @@
                 .is_none_or(|(at, _)| self.now + self.settings.tick < at + class.deduplication_window)
     }
 
-    /// Ends a message that is not or no longer in flight: refused if a new try by the client is harmless and the message
-    /// has not expired, otherwise failed.
+    /// Ends a message that is not or no longer in flight: refused if a new try by the client is harmless and
+    /// the message has not expired, otherwise failed.
     pub(super) fn give_up(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id).filter(|message| !message.ended) else { return };
         let refuse = self.allowed(message).2 && message.expires > self.now;
@@ -120,8 +120,8 @@
         self.end_message(id);
     }
 
-    /// How long a refused client should wait: until the destination accepts calls and its queue has been served. 0 where
-    /// clients are not to be told.
+    /// How long a refused client should wait: until the destination accepts calls and its queue has been
+    /// served. 0 where clients are not to be told.
     pub fn retry_after(&self, destination: DestinationId) -> Micros {
         let destination = self.destinations.get(destination).filter(|_| self.settings.may_send_retry_after);
         let served_in = |route: &Route, queued: usize| {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! The delivery policy: all decisions on what is sent, where and when. `src/interface.rs` defines its settings, events
-//! and actions.
+//! The delivery policy: all decisions on what is sent, where and when. `src/interface.rs` defines its
+//! settings, events and actions.
 //!
-//! For each route, a histogram of response times and a count of calls without a response give the retry timeout τ of
-//! least expected completion time (see [`ResponseTimes`]). The calls of a route are bounded by a window of calls in
-//! flight, by a circuit breaker and, where the destination has a limit, by a rate limit.
+//! For each route, a histogram of response times and a count of calls without a response give the retry
+//! timeout τ of least expected completion time (see [`ResponseTimes`]). The calls of a route are bounded by a
+//! window of calls in flight, by a circuit breaker and, where the destination has a limit, by a rate limit.
 
 use crate::destinations::{Destination, Destinations};
 use crate::interface::*;
@@ -33,10 +33,12 @@
 const MIN_RESPONSES_FOR_TAU: u32 = 20;
 /// Calls in a row that time out at τ before it doubles.
 const TIMEOUTS_TO_DOUBLE_TAU: u32 = 3;
-/// τ is lengthened at random by up to this share, so that replicas with the same τ do not retry at the same time.
+/// τ is lengthened at random by up to this share, so that replicas with the same τ do not retry at the same
+/// time.
 const TAU_JITTER: f64 = 0.25;
 /// Retries that each response adds to the retry budget of a route.
 const RETRY_BUDGET_PER_RESPONSE: f64 = 0.2;
+/// Retries that a route may save up, and has at its start.
 pub(crate) const MAX_RETRY_BUDGET: f64 = 5.0;
 /// Share of the slots that calls to one destination may take; half of the slots while its calls fail.
 const MAX_SLOT_SHARE: f64 = 0.75;
@@ -46,7 +48,8 @@
 const OUTCOME_WEIGHT: f64 = 0.22;
 /// Share of failures above which a route is lossy: unsafe messages wait.
 const LOSSY_FAILURE_SHARE: f64 = 0.2;
-/// Share of failures above which the circuit breaker opens: three failures in a row, or more than half of the calls.
+/// Share of failures above which the circuit breaker opens: three failures in a row, or more than half of the
+/// calls.
 const OPEN_FAILURE_SHARE: f64 = 0.5;
 /// Factor by which a rejection cuts the rate limit.
 const RATE_LIMIT_CUT: f64 = 0.7;
@@ -54,33 +57,34 @@
 const MAX_RATE_LIMIT_RAISE: f64 = 0.08;
 /// Share by which each round of maintenance raises the rate limit where the destination's limit is not known.
 const RATE_LIMIT_DRIFT: f64 = 0.005;
-/// Share of what a rate limit lacks of the replica's equal share of a known limit that each served call restores.
+/// Share of what a rate limit lacks of the replica's equal share of a known limit that each served call
+/// restores.
 const RATE_LIMIT_RECOVERY: f64 = 0.1;
-/// Share of its equal share of a known limit that rejections leave a replica. When all replicas are at this floor, they
-/// stay within the limit.
+/// Share of its equal share of a known limit that rejections leave a replica. When all replicas are at this
+/// floor, they stay within the limit.
 const RATE_LIMIT_FLOOR: f64 = 0.5;
 /// Factor by which the rate of served calls decays in each round of maintenance.
 const SERVED_RATE_DECAY: f64 = 0.95;
 /// Span that the rate of served calls averages over.
 const SERVED_RATE_SPAN_SECONDS: f64 =
     MAINTENANCE_INTERVAL_MICROS as f64 / MICROS_PER_SECOND / (1.0 - SERVED_RATE_DECAY);
-/// Share of the remaining time of a restored message by which the rate limit has a token for its call; the rest of the
-/// time is left for the call.
+/// Share of the remaining time of a restored message by which the rate limit has a token for its call; the
+/// rest of the time is left for the call.
 const RESTORED_CALL_WITHIN_SHARE: f64 = 0.75;
 /// Share of the delivery ratio of all classes that each class gets before worth decides.
 const MIN_CLASS_DELIVERY_SHARE: f64 = 0.6;
 /// Share of the room for held messages that is kept free.
 const FREE_MESSAGE_SHARE: f64 = 0.05;
-/// Time that calls have waited in sum for a response, in mean response times, from which silence is unlikely to be
-/// chance.
+/// Time that calls have waited in sum for a response, in mean response times, from which silence is unlikely
+/// to be chance.
 const SILENCE_MEAN_RESPONSE_TIMES: f64 = 12.0;
 /// Calls of all replicas within the overload duration of the contract that do a cold destination no harm.
 const SAFE_CALLS_IN_OVERLOAD_DURATION: f64 = 2.0;
 /// Least capacity of a destination.
 const MIN_CAPACITY_CALLS_PER_SECOND: f64 = 2.5;
-/// Interval between two probes as a multiple of the incident's age, for four replicas and, at most, for a large fleet.
-/// Many replicas notice an incident one after the other and probe in step with its age, which adds up to four times
-/// the probes of one span.
+/// Interval between two probes as a multiple of the incident's age, for four replicas and, at most, for a
+/// large fleet. Many replicas notice an incident one after the other and probe in step with its age, which
+/// adds up to four times the probes of one span.
 const PROBE_INTERVAL_INCIDENT_AGES: f64 = 3.0;
 const MAX_PROBE_INTERVAL_INCIDENT_AGES: f64 = 8.5;
 /// Factor on the spread of the pauses after rejections when the call after a pause is served.
@@ -89,11 +93,11 @@
 const PAUSE_SPREAD_INCREASE: f64 = 1.5;
 /// Factor by which each half-open probe lengthens the backoff to the next.
 const PROBE_BACKOFF_FACTOR: f64 = 1.3;
-/// Connections in a row that are closed after use once an endpoint has rejected one because its connection table was
-/// full: where the calls alone fill most of the table, one connection in a few dozen is rejected.
+/// Connections in a row that are closed after use once an endpoint has rejected one because its connection
+/// table was full: where the calls alone fill most of the table, one connection in a few dozen is rejected.
 const CLOSE_AFTER_USE_COUNT: u32 = 32;
-/// Connections that any endpoint is assumed to accept: idle ones do no harm while each replica keeps to its equal share
-/// of them.
+/// Connections that any endpoint is assumed to accept: idle ones do no harm while each replica keeps to its
+/// equal share of them.
 const MIN_ENDPOINT_CONNECTIONS: f64 = 16.0;
 /// Share of the load that would overload a cold destination that all replicas together may send.
 const RAMP_SAFETY_SHARE: f64 = 0.6;
@@ -131,7 +135,8 @@
     next_maintenance_at: Micros,
     /// Span in seconds over which the decayed counts of messages average.
     averaging_window: f64,
-    /// Spread of the random pauses after rejections in microseconds, learned from how the calls after them end.
+    /// Spread of the random pauses after rejections in microseconds, learned from how the calls after them
+    /// end.
     pause_spread: f64,
     /// The earliest time at which a route that cannot take a call now may take one.
     wake_at: Micros,
@@ -278,8 +283,9 @@
         actions.append(&mut self.actions);
     }
 
-    /// Periodic maintenance of active routes: decays what was learned, updates retry timeouts and rate limits, opens
-    /// the breakers of silent routes, cancels overdue calls and drops state that is no longer needed.
+    /// Periodic maintenance of active routes: decays what was learned, updates retry timeouts and rate
+    /// limits, opens the breakers of silent routes, cancels overdue calls and drops state that is no longer
+    /// needed.
     fn maintain(&mut self) {
         self.next_maintenance_at = self.now + MAINTENANCE_INTERVAL_MICROS;
         self.order_key_queues
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,5 @@
-//! Conclusions from the outcomes of attempts and calls: failure shares, windows, rate limits and circuit breakers.
+//! Conclusions from the outcomes of attempts and calls: failure shares, windows, rate limits and circuit
+//! breakers.
 
 use super::rates::exceeds_request_rate;
 use super::*;
@@ -29,10 +30,12 @@
             let route = &mut self.routes[route_index];
             self.destinations.unblock(route.destination);
             if result.retry_after > 0 {
-                // A wait that the destination asked for binds the route whatever comes later, and is never shortened.
+                // A wait that the destination asked for binds the route whatever comes later, and is never
+                // shortened.
                 route.paused_until = route.paused_until.max(self.now + result.retry_after);
             }
-            // All messages of a call end alike: with the last of them the call's result is applied and its slot freed.
+            // All messages of a call end alike: with the last of them the call's result is applied and its
+            // slot freed.
             if let Some(Call { sent_at, half_open, .. }) = route.remove_message(call, id) {
                 result.sent_at = sent_at;
                 self.calls_in_flight -= 1;
@@ -53,7 +56,8 @@
         } else if message.attempts.iter().all(|attempt| attempt.outcome.is_some()) {
             if self.allowed(message).0 && !self.is_due(message) {
                 if outcome == Outcome::NotSent {
-                    // The cause may last: an immediate retry each time would use up the attempts of the message.
+                    // The cause may last: an immediate retry each time would use up the attempts of the
+                    // message.
                     let pause = self.settings.tick << message.attempts.len().min(8);
                     self.message_timers.insert((self.now + pause, id));
                 } else {
@@ -105,15 +109,15 @@
                     (1.0 - SERVED_RATE_DECAY) * MICROS_PER_SECOND / MAINTENANCE_INTERVAL_MICROS as f64;
                 let share_left =
                     report.filter(|report| report.rate > 0.0).map_or(0.3, |report| report.share_left);
-                // Under a known limit the rate limit is raised only if it held up calls; otherwise nothing shows that
-                // it is too low.
+                // Under a known limit the rate limit is raised only if it held up calls; otherwise nothing
+                // shows that it is too low.
                 let is_too_low =
                     route.known_limit <= 0.0 || route.tokens < 1.0 && !route.breaker.is_slow_start();
                 route.rate_limit *=
                     if is_too_low { 1.0 + MAX_RATE_LIMIT_RAISE * (2.0 * share_left).min(1.0) } else { 1.0 };
                 if route.known_limit > 0.0 {
-                    // In a large fleet a replica gets few responses: raised in proportion to itself alone, its rate
-                    // limit would need a minute to recover.
+                    // In a large fleet a replica gets few responses: raised in proportion to itself alone,
+                    // its rate limit would need a minute to recover.
                     let lack = (route.equal_share(self.settings.replicas) - route.rate_limit).max(0.0);
                     route.rate_limit = (route.rate_limit
                         + if route.rate_limit > 0.0 { RATE_LIMIT_RECOVERY * lack } else { 0.0 })
@@ -134,12 +138,13 @@
                         CircuitBreaker::Open { next_probe_at: self.now, backoff: route.response_times.mean() }
                     }
                     CircuitBreaker::Open { .. } if is_brief => CircuitBreaker::Closed,
-                    // The destination returned at some time since the last failed probe: on average over many replicas,
-                    // half way. If each replica's slow start began with its first response, replicas that probe rarely
-                    // would lag behind. With two replicas there is no average to rely on.
+                    // The destination returned at some time since the last failed probe: on average over many
+                    // replicas, half way. If each replica's slow start began with its first response,
+                    // replicas that probe rarely would lag behind. With two replicas there is no average to
+                    // rely on.
                     CircuitBreaker::Open { .. } => {
-                        // The half-open probe was this replica's call. Tokens saved up meanwhile would let the calls of
-                        // all replicas follow at once.
+                        // The half-open probe was this replica's call. Tokens saved up meanwhile would let
+                        // the calls of all replicas follow at once.
                         route.tokens = route.tokens.min(0.0);
                         let head_start =
                             (self.now - previous_result_at) as f64 * (0.5 - 1.0 / replicas).max(0.0);
@@ -152,9 +157,9 @@
                 route.consecutive_rejections += 1;
                 route.incident_since.get_or_insert(self.now);
                 if route.halve_window(sent_at, self.now) {
-                    // The rate limit is not cut below the rate that is certainly being served, since there is room for
-                    // that much. A single response says little, and the rates to which all replicas fall back stay
-                    // within a known limit.
+                    // The rate limit is not cut below the rate that is certainly being served, since there is
+                    // room for that much. A single response says little, and the rates to which all replicas
+                    // fall back stay within a known limit.
                     let equal_share = route.equal_share(self.settings.replicas);
                     let cut_rate = if route.rate_limit > 0.0 {
                         route.rate_limit * RATE_LIMIT_CUT
@@ -169,7 +174,8 @@
                         route.served_rate.min(equal_share) + excess * responses / (responses + 1.0);
                     route.rate_limit =
                         cut_rate.max(min_rate.min(RATE_LIMIT_FLOOR * equal_share)).max(certain_rate);
-                    // Saved tokens are dropped, and replicas that were rejected together do not come back together.
+                    // Saved tokens are dropped, and replicas that were rejected together do not come back
+                    // together.
                     route.tokens = if route.known_limit > 0.0 {
                         route.tokens.min(0.0) + jitter - 1.5
                     } else {
@@ -216,21 +222,21 @@
             }
             _ => {}
         }
-        // A destination that was out failed connections for that reason, not because its connection tables were full.
-        // It is cold, and a handshake for each call would cost it more than the calls do.
+        // A destination that was down failed connections for that reason, not because its connection tables
+        // were full. It is cold, and a handshake for each call would cost it more than the calls do.
         let has_recovered = previous_breaker.is_open() && !self.routes[route_index].breaker.is_open();
         for id in self.routes[route_index].targets.iter().filter(|_| has_recovered) {
             self.targets.entry(*id).and_modify(|endpoint| endpoint.table_full_until = 0);
         }
-        // Idle connections fill the table of an endpoint that accepts few, or are dropped without notice. They are
-        // closed after use if a connection failed, or if this replica calls rarely. The cost: one handshake, if the
-        // next call was near.
+        // Idle connections fill the table of an endpoint that accepts few, or are dropped without notice.
+        // They are closed after use if a connection failed, or if this replica calls rarely. The cost: one
+        // handshake, if the next call was near.
         let route = &self.routes[route_index];
         let calls_rarely = (route.recent_requests - 1.0) * self.settings.connection_idle_timeout as f64
             / MICROS_PER_SECOND
             <= self.averaging_window;
         if let Some(endpoint) = self.targets.get_mut(&target) {
-            // One endpoint of several may be out alone: it rests while the others serve.
+            // One endpoint of several may be down alone: the others are used meanwhile.
             let has_failed = outcome != Outcome::Ok && outcome != Outcome::Rejected && !retry_planned;
             endpoint.ejected_until = if has_failed { self.now + shortest_aim as Micros } else { 0 };
             if outcome == Outcome::ConnectFailed {
@@ -240,8 +246,9 @@
             let is_last_call =
                 outcome != Outcome::ConnectFailed && !route.calls.values().any(|call| call.target == target);
             let is_table_full = endpoint.table_full_until > self.now || endpoint.close_after_use > 0;
-            // A connection that is always used again shortly before the idle timeout would keep its place in the table
-            // for good, though it is mostly idle, and would never notice that others find none: its idle times add up.
+            // A connection that is always used again shortly before the idle timeout would keep its place in
+            // the table for good, though it is mostly idle, and would never notice that others find none: its
+            // idle times add up.
             let connection_share = (MIN_ENDPOINT_CONNECTIONS / replicas).max(1.0);
             let was_mostly_idle =
                 endpoint.total_idle as f64 > connection_share * self.settings.connection_idle_timeout as f64;
@@ -258,10 +265,10 @@
             .then(|| self.log(format!("destination of {target} answers again: slow start")));
     }
 
-    /// Handles a connection rejected by an endpoint that has as many as it accepts, which says nothing of its health or
-    /// its limit. The next one is tried after a growing pause, and for long after that each is closed after use: kept
-    /// ones would fill the table again while idle. This protects the many replicas that share the endpoint, at the cost
-    /// of a handshake for each call.
+    /// Handles a connection rejected by an endpoint that has as many as it accepts, which says nothing of its
+    /// health or its limit. The next one is tried after a growing pause, and for long after that each is
+    /// closed after use: kept ones would fill the table again while idle. This protects the many replicas
+    /// that share the endpoint, at the cost of a handshake for each call.
     pub(super) fn connection_rejected(
         &mut self, route_index: usize, target: TargetId, half_open: bool, sent_at: Micros,
     ) {
@@ -295,8 +302,8 @@
         self.log(format!("destination of {first_target} looks out: single trials"));
     }
 
-    /// Since when a route has been silent: calls are overdue, or have waited improbably long in sum, and none has been
-    /// served since they were sent. The next success ends this.
+    /// Since when a route has been silent: calls are overdue, or have waited improbably long in sum, and none
+    /// has been served since they were sent. The next success ends this.
     pub(super) fn silent_since(&self, route_index: usize) -> Option<Micros> {
         let route = &self.routes[route_index];
         let (_, oldest) =
@@ -314,7 +321,8 @@
         is_improbable.then_some(oldest.sent_at)
     }
 
-    /// Age from which a call is overdue, well past the usual response times; longer while few responses are known.
+    /// Age from which a call is overdue, well past the usual response times; longer while few responses are
+    /// known.
     pub(super) fn overdue_age(&self, route: &Route) -> f64 {
         let (times, longest) = (&route.response_times, route.response_times.longest());
         if times.retry_timeout > 0.0 {
--- a/src/policy/rates.rs
+++ b/src/policy/rates.rs
@@ -1,5 +1,5 @@
-//! Rate limits, probe intervals and slow starts, each for one of many replicas that share the destinations without
-//! coordination.
+//! Rate limits, probe intervals and slow starts, each for one of many replicas that share the destinations
+//! without coordination.
 
 use super::*;
 
@@ -9,19 +9,20 @@
         self.routes[route_index].recent_requests / self.averaging_window.max(1.0)
     }
 
-    /// Interval between the calls of one replica at which the calls of all replicas together do a cold destination no
-    /// harm, in microseconds.
+    /// Interval between the calls of one replica at which the calls of all replicas together do a cold
+    /// destination no harm, in microseconds.
     pub(super) fn safe_call_interval(&self) -> f64 {
         f64::from(self.settings.replicas.max(1)) * self.settings.contract.overload_duration as f64
             / SAFE_CALLS_IN_OVERLOAD_DURATION
     }
 
-    /// Least interval between attempts at a route with an incident, in microseconds. It protects destinations that are
-    /// out, closed or cold from many replicas that each try rarely: as in the slow start, each replica keeps to its part
-    /// of the load that would overload the destination, either its equal share or a multiple of the incident's age, in
-    /// which each message brought at most one replica to try.
+    /// Least interval between attempts at a route with an incident, in microseconds. It protects destinations
+    /// that are down, closed or cold from many replicas that each try rarely: as in the slow start, each
+    /// replica keeps to its part of the load that would overload the destination, either its equal share or a
+    /// multiple of the incident's age, in which each message brought at most one replica to try.
     pub(super) fn probe_interval(&self, route_index: usize, at: Micros) -> f64 {
-        // In a small fleet the replica's own request rate tells its part best, in a large one the equal share does.
+        // In a small fleet the replica's own request rate tells its part best, in a large one the equal share
+        // does.
         let replicas = f64::from(self.settings.replicas.max(2));
         let equal_share = self.routes[route_index].known_limit / replicas * (1.0 - 2.0 / replicas);
         let contract = &self.settings.contract;
@@ -35,9 +36,9 @@
         (1.0 / safe_rate.max(1e-12)).min(self.safe_call_interval()).min(ages * incident_age as f64)
     }
 
-    /// Calls a second that this replica may send to a destination that has been recovering from cold since then: its
-    /// part of a safe share of the load that would overload the destination, which rises over the ramp. The cost: a
-    /// destination that was not cold is under-used.
+    /// Calls a second that this replica may send to a destination that has been recovering from cold since
+    /// then: its part of a safe share of the load that would overload the destination, which rises over the
+    /// ramp. The cost: a destination that was not cold is under-used.
     pub(crate) fn cold_rate(&self, route_index: usize, since: Micros) -> f64 {
         let contract = &self.settings.contract;
         let ramped = ((self.now - since) as f64 / contract.ramp_time.max(1) as f64).min(1.0);
@@ -47,17 +48,17 @@
         capacity * warm_share * contract.overload_factor.max(1.0) * RAMP_SAFETY_SHARE
     }
 
-    /// Age up to which an incident is brief. A replica of a small fleet sees an incident from its beginning, one of a
-    /// large fleet perhaps only its end.
+    /// Age up to which an incident is brief. A replica of a small fleet sees an incident from its beginning,
+    /// one of a large fleet perhaps only its end.
     pub(super) fn brief_incident_age(&self) -> Micros {
         let seen_share = (4.0 / f64::from(self.settings.replicas.max(1))).min(1.0);
         (seen_share * 2.0 * self.settings.contract.overload_duration as f64) as Micros
     }
 
-    /// Makes sure that the rate limit of a route has a token by a random moment before a restored message expires. In a
-    /// large fleet the replica's rate limit may otherwise allow its first call only after all restored messages have
-    /// expired. The cost: a destination is overloaded if all replicas have restored messages for it and its limit is
-    /// less than one call of each in that time.
+    /// Makes sure that the rate limit of a route has a token by a random moment before a restored message
+    /// expires. In a large fleet the replica's rate limit may otherwise allow its first call only after all
+    /// restored messages have expired. The cost: a destination is overloaded if all replicas have restored
+    /// messages for it and its limit is less than one call of each in that time.
     pub(super) fn reserve_call_before(&mut self, route_index: usize, expires: Micros) {
         let within =
             RESTORED_CALL_WITHIN_SHARE * self.random.next() * expires.saturating_sub(self.now) as f64
@@ -83,7 +84,8 @@
         if let CircuitBreaker::SlowStart { since } = route.breaker {
             (rate, depth) = (self.cold_rate(route_index, since), 1.0);
         } else if long_incident && route.consecutive_rejections == 0 {
-            // The destination may be out, and return cold, though this replica has seen too few failures to tell.
+            // The destination may be down, and cold when it returns, though this replica has seen too few
+            // failures to tell.
             rate = rate.min(self.cold_rate(route_index, self.now) / RAMP_SAFETY_SHARE);
         }
         // Overdue calls no longer tell how many calls the route can take at once.
@@ -107,8 +109,8 @@
     }
 }
 
-/// Whether a rate limit, where the destination's limit is not known, is so far above the request rate that it limits
-/// nothing.
+/// Whether a rate limit, where the destination's limit is not known, is so far above the request rate that it
+/// limits nothing.
 pub(super) fn exceeds_request_rate(rate_limit: f64, request_rate: f64) -> bool {
     rate_limit > 4.0 * request_rate.max(1.0)
 }
@@ -123,8 +125,8 @@
         due
     }
 
-    /// Takes back a call that was not sent, for example because its message had ended: it returns its token, and counts
-    /// as no half-open probe.
+    /// Takes back a call that was not sent, for example because its message had ended: it returns its token,
+    /// and counts as no half-open probe.
     pub(super) fn take_back_call(&mut self, half_open: bool, next_call_at: Micros) {
         self.tokens += 1.0;
         if let (true, CircuitBreaker::Open { next_probe_at, backoff }) = (half_open, self.breaker) {
@@ -135,9 +137,9 @@
         }
     }
 
-    /// Depth of the token bucket: calls that may be sent at once after a pause. With a known limit it is as many as
-    /// random arrivals may bring within an aim, given in seconds: in a large fleet the share of each replica is less
-    /// than one call, and most of its calls come alone.
+    /// Depth of the token bucket: calls that may be sent at once after a pause. With a known limit it is as
+    /// many as random arrivals may bring within an aim, given in seconds: in a large fleet the share of each
+    /// replica is less than one call, and most of its calls come alone.
     pub(super) fn bucket_depth(&self, aim: f64) -> f64 {
         if self.known_limit > 0.0 {
             1.0 + 2.0 * (self.rate_limit * aim).sqrt()
@@ -146,9 +148,9 @@
         }
     }
 
-    /// Sets the known limit. The first one starts the rate limit at the replica's equal share, however small: where all
-    /// replicas start at once, as after a restart with restored messages, one call of each is more than many a
-    /// destination's limit.
+    /// Sets the known limit. The first one starts the rate limit at the replica's equal share, however small:
+    /// where all replicas start at once, as after a restart with restored messages, one call of each is more
+    /// than many a destination's limit.
     pub(crate) fn set_known_limit(&mut self, rate: f64, replicas: u32) {
         if self.known_limit <= 0.0 {
             self.rate_limit = rate / f64::from(replicas.max(1));
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -2,16 +2,17 @@
 
 use super::*;
 
-/// A possible route for a message: its load (the least is chosen), index, endpoint, and whether the call is a half-open
-/// probe.
+/// A possible route for a message: its load (the least is chosen), index, endpoint, and whether the call is a
+/// half-open probe.
 type RouteChoice = ((bool, f64, f64), usize, TargetId, bool);
 
 impl DeliveryPolicy {
-    /// The message that a queue sends next, with its worth: the oldest one that can still be delivered within its aim,
-    /// or the newest one if none can. If the oldest always went first, a backlog would pass its delay on to all later
-    /// messages that would be in time by themselves. Messages restored unsent after a restart go before all others of
-    /// their class, first the one that expires first: each is to be tried, and has lost the time of the restart. The
-    /// cost: newer messages wait for as many calls as messages were restored.
+    /// The message that a queue sends next, with its worth: the oldest one that can still be delivered within
+    /// its aim, or the newest one if none can. If the oldest always went first, a backlog would pass its
+    /// delay on to all later messages that would be in time by themselves. Messages restored unsent after a
+    /// restart go before all others of their class, first the one that expires first: each is to be tried,
+    /// and has lost the time of the restart. The cost: newer messages wait for as many calls as messages were
+    /// restored.
     pub(super) fn next_in_queue(
         &self, (class, _, restored_unsent): QueueKey, messages: &BTreeSet<(Micros, MessageId)>,
     ) -> Option<(f64, MessageId)> {
@@ -24,16 +25,16 @@
         Some((priority + self.settings.worth_at_age(class, age) + 1e-6 * age / aim.max(1) as f64, *id))
     }
 
-    /// Whether a class is delivered far less often than all classes together. By worth alone, a class of little worth
-    /// would get no calls where messages of another class always wait. The cost: classes of more worth lose up to that
-    /// share of the calls.
+    /// Whether a class is delivered far less often than all classes together. By worth alone, a class of
+    /// little worth would get no calls where messages of another class always wait. The cost: classes of more
+    /// worth lose up to that share of the calls.
     pub(super) fn is_behind(&self, class: usize) -> bool {
         let (arrived, delivered) = (self.arrived.iter().sum::<f64>(), self.delivered.iter().sum::<f64>());
         self.delivered[class] * arrived < MIN_CLASS_DELIVERY_SHARE * delivered * self.arrived[class]
     }
 
-    /// The best endpoint of a route: preferably one that has not failed, has the fewest calls in flight, and was used
-    /// most recently.
+    /// The best endpoint of a route: preferably one that has not failed, has the fewest calls in flight, and
+    /// was used most recently.
     pub(super) fn best_endpoint(&self, route_index: usize, zone: Option<u32>) -> Option<TargetId> {
         let route = &self.routes[route_index];
         let all = route.targets.iter().map(|id| (id, &self.targets[id]));
@@ -54,10 +55,11 @@
         best.map(|(id, _)| *id)
     }
 
-    /// Whether an unsafe message has to wait because the route fails or is silent: an attempt without a response would
-    /// lose the message. It waits for an aim, and longer while calls still fail, but only if something else can find out
-    /// whether the route works: a message that may be repeated, or a half-open probe in flight. Otherwise it is sent
-    /// itself. The cost: the few messages that find out that a route is down are lost.
+    /// Whether an unsafe message has to wait because the route fails or is silent: an attempt without a
+    /// response would lose the message. It waits for an aim, and longer while calls still fail, but only if
+    /// something else can find out whether the route works: a message that may be repeated, or a half-open
+    /// probe in flight. Otherwise it is sent itself. The cost: the few messages that find out that a route is
+    /// down are lost.
     fn is_withheld(
         &self, message: &Message, destination: &Destination, route_index: usize, half_open: bool,
     ) -> bool {
@@ -73,8 +75,8 @@
             && self.others_will_try(destination, route, aim)
     }
 
-    /// Whether a message that may be repeated is ready for a route or in flight on it, or is expected within an aim by
-    /// the recent request rate.
+    /// Whether a message that may be repeated is ready for a route or in flight on it, or is expected within
+    /// an aim by the recent request rate.
     fn others_will_try(&self, destination: &Destination, route: &Route, aim: Micros) -> bool {
         let is_repeatable = |class: usize| self.settings.classes[class].retry_safety != RetrySafety::Unsafe;
         let expected =
@@ -87,8 +89,8 @@
             || route.calls.values().any(in_flight)
     }
 
-    /// When the first route of a destination can take calls, if pauses or open breakers block all of its routes now.
-    /// None once the process shuts down, since what may be sent then depends on the time left.
+    /// When the first route of a destination can take calls, if pauses or open breakers block all of its
+    /// routes now. None once the process shuts down, since what may be sent then depends on the time left.
     fn blocked_until(&self, destination: &Destination) -> Option<Micros> {
         let next_call_at =
             destination.routes.iter().map(|route_index| self.routes[*route_index].next_call_at()).min()?;
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl DeliveryPolicy {
-    /// Whether a call may still be written whose connection took time to open: meanwhile its endpoint may have been
-    /// drained or disabled, its destination may have asked for a wait, its message may have ended, or the deduplication
-    /// window for a retry may be over.
+    /// Whether a call may still be written whose connection took time to open: meanwhile its endpoint may
+    /// have been drained or disabled, its destination may have asked for a wait, its message may have ended,
+    /// or the deduplication window for a retry may be over.
     pub fn may_still_send(&mut self, now: Micros, id: MessageId, target: TargetId) -> bool {
         self.now = now;
         let listed = self.targets.get(&target).filter(|endpoint| endpoint.state == EndpointState::Ready);
@@ -68,7 +68,8 @@
             RetrySafety::Unsafe => false,
         };
         let is_last = message.attempts.len() + 1 >= self.settings.max_attempts as usize;
-        // The call times out at the retry timeout τ if a retry can follow it in time, otherwise when the message expires.
+        // The call times out at the retry timeout τ if a retry can follow it in time, otherwise when the
+        // message expires.
         let end = message.expires.saturating_sub(self.processing_lag).max(self.now);
         let retry_planned = may_retry
             && !is_last
@@ -85,8 +86,8 @@
         call
     }
 
-    /// Adds further messages to a call, where the destination takes several in one. A half-open probe carries a single
-    /// message.
+    /// Adds further messages to a call, where the destination takes several in one. A half-open probe carries
+    /// a single message.
     pub(super) fn fill_batch(
         &mut self, destination_id: DestinationId, route_index: usize, target: TargetId, call: u64,
     ) {
@@ -108,14 +109,14 @@
         }
     }
 
-    /// Cancels calls that are overdue, for whatever reason, to free their slots: one silent endpoint must not hold up
-    /// the others. Where the destination is out, calls with repeatable messages only are cancelled at once; others a few
-    /// at a time, while messages wait for a slot. The cost: very late responses are lost.
+    /// Cancels calls that are overdue, for whatever reason, to free their slots: one silent endpoint must not
+    /// hold up the others. Where the destination is down, calls with repeatable messages only are cancelled at
+    /// once; others a few at a time, while messages wait for a slot. The cost: very late responses are lost.
     pub(super) fn cancel_overdue_calls(&mut self, with_calls: &[usize]) {
         let mut allowance = if self.out_of_slots { self.settings.slots.div_ceil(16) } else { 0 };
         for &route_index in if self.settings.may_cancel { with_calls } else { &[] } {
             let overdue_age = self.overdue_age(&self.routes[route_index]);
-            let is_out =
+            let is_down =
                 self.routes[route_index].breaker.is_open() && self.routes[route_index].failure_may_have_run;
             let is_overdue =
                 |call: &&mut Call| !call.cancelled && (self.now - call.sent_at) as f64 > overdue_age;
@@ -123,7 +124,7 @@
                 let is_repeatable = |message: &Message| {
                     self.settings.classes[message.class].retry_safety == RetrySafety::Repeatable
                 };
-                let is_free = is_out
+                let is_free = is_down
                     && call
                         .messages
                         .iter()
--- a/src/policy/state_transfer.rs
+++ b/src/policy/state_transfer.rs
@@ -7,15 +7,16 @@
 pub const FORMAT: u32 = 6;
 
 impl DeliveryPolicy {
-    /// Serializes all that this replica knows: its messages and calls, the waits that destinations asked for, cold
-    /// destinations, disabled endpoints, and what it has learned of response times and rates. A successor without this
-    /// state would overload destinations that are cold and call those that asked for a pause. The settings are not
-    /// included: the successor has its own.
+    /// Serializes all that this replica knows: its messages and calls, the waits that destinations asked for,
+    /// cold destinations, disabled endpoints, and what it has learned of response times and rates. A
+    /// successor without this state would overload destinations that are cold and call those that asked for a
+    /// pause. The settings are not included: the successor has its own.
     pub fn export_state(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
 
-    /// Continues from the state of another process. Its times are times of that process's clock, which has to continue.
+    /// Continues from the state of another process. Its times are times of that process's clock, which has to
+    /// continue.
     pub fn import_state(bytes: &[u8], settings: Settings) -> Result<DeliveryPolicy, postcard::Error> {
         let mut policy: DeliveryPolicy = postcard::from_bytes(bytes)?;
         // The settings may have other classes than those of the previous process.
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -17,7 +17,8 @@
 }
 
 impl ResponseTimes {
-    /// Records a response. Those later than τ count too, so that the histogram covers the longest response times.
+    /// Records a response. Those later than τ count too, so that the histogram covers the longest response
+    /// times.
     pub(super) fn record_response(&mut self, took: f64) {
         self.histogram.record(took);
         self.responses = self.responses.saturating_add(1);
@@ -46,9 +47,10 @@
         self.histogram.longest()
     }
 
-    /// Sets τ to the bucket edge of least expected completion time Ê, then raises it while condition (6) of the paper
-    /// on restarts holds, and returns its Ê. `retry_cost` is the paper's c. The mean of the responses up to τ is the
-    /// paper's M/p already: divided by p again, it would not reproduce the tables of the paper.
+    /// Sets τ to the bucket edge of least expected completion time Ê, then raises it while condition (6) of
+    /// the paper on restarts holds, and returns its Ê. `retry_cost` is the paper's c. The mean of the
+    /// responses up to τ is the paper's M/p already: divided by p again, it would not reproduce the tables of
+    /// the paper.
     pub(super) fn update_retry_timeout(&mut self, retry_cost: f64) -> Option<f64> {
         let histogram = &self.histogram;
         let (total, width) = (histogram.total() + self.unanswered, histogram.width());
@@ -80,9 +82,9 @@
         Some(expected[bucket])
     }
 
-    /// Records a call without a response. A run of calls that time out at τ doubles τ, since condition (6) sees no
-    /// density past τ when the destination becomes slower; the least Ê lowers it again. The cost: where most calls are
-    /// dropped, retries come late.
+    /// Records a call without a response. A run of calls that time out at τ doubles τ, since condition (6)
+    /// sees no density past τ when the destination becomes slower; the least Ê lowers it again. The cost:
+    /// where most calls are dropped, retries come late.
     pub(super) fn record_no_response(&mut self, retry_planned: bool) {
         self.unanswered += 1.0;
         self.consecutive_timeouts += u32::from(retry_planned);
--- a/src/policy/timeouts_tests.rs
+++ b/src/policy/timeouts_tests.rs
@@ -1,9 +1,10 @@
-//! Tests of the retry timeout against the figures of the paper on restarts, and when a destination becomes slower.
+//! Tests of the retry timeout against the figures of the paper on restarts, and when a destination becomes
+//! slower.
 
 use super::ResponseTimes;
 
-/// The paper's failed exponential distribution: response times of rate 1, half of the calls without a response, and a
-/// retry cost of 1. The paper gives τ* = 1.505 and E = 4.505. Times are scaled by a million.
+/// The paper's failed exponential distribution: response times of rate 1, half of the calls without a
+/// response, and a retry cost of 1. The paper gives τ* = 1.505 and E = 4.505. Times are scaled by a million.
 #[test]
 fn least_expected_time_matches_the_papers_failed_exponential() {
     let mut times = ResponseTimes::default();
@@ -23,7 +24,8 @@
     assert!((expected - 4.505).abs() < 0.1, "expected {expected}");
 }
 
-/// When a destination becomes slower, every response comes after τ: τ must rise although no response is recorded.
+/// When a destination becomes slower, every response comes after τ: τ must rise although no response is
+/// recorded.
 #[test]
 fn consecutive_timeouts_raise_the_retry_timeout() {
     let mut times = ResponseTimes::default();
--- a/src/queueing.rs
+++ b/src/queueing.rs
@@ -1,13 +1,13 @@
-//! Queues of messages: those ready to be sent by destination, those of an order key in sequence, and the timers of those
-//! that wait.
+//! Queues of messages: those ready to be sent by destination, those of an order key in sequence, and the
+//! timers of those that wait.
 
 use crate::interface::*;
 use crate::policy::DeliveryPolicy;
 use crate::state::Message;
 
 impl DeliveryPolicy {
-    /// Stores a message: activates its destination, counts it for the routes, and appends it to the queue of its order
-    /// key.
+    /// Stores a message: activates its destination, counts it for the routes, and appends it to the queue of
+    /// its order key.
     pub(crate) fn hold(&mut self, id: MessageId, message: Message, repeatable: bool) {
         self.activate(message.destination);
         let destination = self.destinations.entry(message.destination);
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,5 +1,5 @@
-//! A random number generator whose state is part of the policy's state: the same seed gives the same numbers, also
-//! after a state transfer.
+//! A random number generator whose state is part of the policy's state: the same seed gives the same numbers,
+//! also after a state transfer.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/response_time_histogram.rs
+++ b/src/response_time_histogram.rs
@@ -11,8 +11,8 @@
 /// Share of the responses in the upper half of the buckets below which the buckets become narrower.
 const EMPTY_UPPER_HALF_SHARE: f64 = 0.02;
 
-/// Response times in microseconds, in buckets of equal width. Each bucket keeps the sum of its times, so that its mean
-/// is exact whatever the width.
+/// Response times in microseconds, in buckets of equal width. Each bucket keeps the sum of its times, so that
+/// its mean is exact whatever the width.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ResponseTimeHistogram {
     width: f64,
@@ -27,7 +27,8 @@
 }
 
 impl ResponseTimeHistogram {
-    /// Counts one response. If its time is beyond the last bucket, the width doubles and neighbours merge until it fits.
+    /// Counts one response. If its time is beyond the last bucket, the width doubles and neighbours merge
+    /// until it fits.
     pub fn record(&mut self, took: f64) {
         while took >= self.width * BUCKETS as f64 {
             self.merge_neighbours();
@@ -45,8 +46,8 @@
         self.width *= 2.0;
     }
 
-    /// Multiplies all counts by `keep`. Once the upper half of the buckets is almost empty, the width halves, unless the
-    /// buckets would no longer cover `reach`.
+    /// Multiplies all counts by `keep`. Once the upper half of the buckets is almost empty, the width halves,
+    /// unless the buckets would no longer cover `reach`.
     pub fn decay(&mut self, keep: f64, reach: f64) {
         for value in self.counts.iter_mut().chain(self.sums.iter_mut()) {
             *value *= keep;
--- a/src/route_table.rs
+++ b/src/route_table.rs
@@ -6,8 +6,9 @@
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// Routes by index. The index of a removed route is reused for a later one. Where the order matters, routes are visited
-/// in the order in which their first endpoints were listed, regardless of when their state was created.
+/// Routes by index. The index of a removed route is reused for a later one. Where the order matters, routes
+/// are visited in the order in which their first endpoints were listed, regardless of when their state was
+/// created.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct RouteTable {
     routes: Vec<Route>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings as a deployment words them, in JSON, and their translation. Unknown keys are ignored.
+//! The settings of a deployment as they stand in JSON, and their conversion to [`Settings`]. Unknown keys are
+//! ignored.
 
 use crate::{
     Class, DeduplicationScope, DestinationContract, ListedRate, Micros, RetrySafety, Settings, WorthDecay,
@@ -6,9 +7,9 @@
 use serde::Deserialize;
 
 #[derive(Deserialize)]
-struct Env {
+struct SettingsDocument {
     balancers: u32,
-    categories: Vec<Category>,
+    categories: Vec<CategorySection>,
     #[serde(default)]
     contract: ContractSection,
     #[serde(default)]
@@ -16,12 +17,12 @@
     #[serde(default)]
     discovery: String,
     #[serde(default)]
-    family_info: FamilyInfo,
-    limits: Limits,
+    family_info: FamilyInfoSection,
+    limits: LimitsSection,
     #[serde(default)]
     machine_types: Vec<String>,
     #[serde(default)]
-    report: Report,
+    report: ReportSection,
     #[serde(default)]
     tick: Micros,
     #[serde(default)]
@@ -29,7 +30,7 @@
 }
 
 #[derive(Deserialize)]
-struct Category {
+struct CategorySection {
     aim: Micros,
     deadline: Micros,
     #[serde(default)]
@@ -64,7 +65,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct FamilyInfo {
+struct FamilyInfoSection {
     batch_by_kind: Vec<u32>,
     decay: String,
     own_limits: Vec<bool>,
@@ -75,7 +76,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Limits {
+struct LimitsSection {
     conn_idle: Micros,
     dial_timeout: Micros,
     max_open: u32,
@@ -90,103 +91,108 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Report {
+struct ReportSection {
     fields: Vec<String>,
 }
 
-/// The settings of an instance, the names in them, and where the two values of its limit report stand.
+/// The settings of a forwarder, the names that they define, and the positions of the two values of a limit
+/// report.
 #[derive(Debug, Deserialize)]
-#[serde(from = "Env")]
+#[serde(from = "SettingsDocument")]
 pub struct DeploymentSettings {
-    /// What the decisions need.
+    /// Settings of the delivery policy.
     pub settings: Settings,
-    /// Names of the classes of message, in their order.
+    /// Names of the classes of message, by index.
     pub class_names: Vec<String>,
-    /// Names of the kinds of destination.
+    /// Names of the kinds of destination, by index.
     pub kind_names: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     pub zone_names: Vec<String>,
-    /// Place of the share that is left in a report.
+    /// Position of the share that is left in a limit report.
     pub share_left_index: Option<usize>,
-    /// Place of the limit's rate in a report.
+    /// Position of the limit's rate in a limit report.
     pub rate_index: Option<usize>,
 }
 
 impl DeploymentSettings {
-    /// The number of a zone. One that the settings do not name is a zone all the same: its number comes from its name,
-    /// is the same in each process, and lies past all that are named.
+    /// The number of a zone. A zone that the settings do not name is valid as well: its number is derived
+    /// from its name, so that it is the same in each process, and is greater than those of all named zones.
     pub fn zone_number(&self, name: &str) -> u32 {
-        const UNNAMED: u32 = 1 << 30;
-        let named = self.zone_names.iter().position(|n| n == name);
-        named.map_or_else(|| UNNAMED | crc32fast::hash(name.as_bytes()) >> 2, |at| at as u32)
+        const UNNAMED_ZONE: u32 = 1 << 30;
+        let named = self.zone_names.iter().position(|zone_name| zone_name == name);
+        named.map_or_else(|| UNNAMED_ZONE | crc32fast::hash(name.as_bytes()) >> 2, |index| index as u32)
     }
 }
 
-impl From<Env> for DeploymentSettings {
-    fn from(env: Env) -> Self {
-        let place = |name: &str| env.report.fields.iter().position(|f| f == name);
-        let (share_left_index, rate_index) = (place("x0"), place("x1"));
-        let class_names = env.categories.iter().map(|c| c.name.clone()).collect();
-        let classes = env.categories.iter().map(|c| Class {
-            aim: c.aim,
-            deadline: c.deadline,
-            worth: c.worth,
-            late_value: c.late_value,
-            retry_safety: match c.effect.as_str() {
+impl From<SettingsDocument> for DeploymentSettings {
+    fn from(document: SettingsDocument) -> Self {
+        let position = |name: &str| document.report.fields.iter().position(|field| field == name);
+        let (share_left_index, rate_index) = (position("x0"), position("x1"));
+        let class_names = document.categories.iter().map(|category| category.name.clone()).collect();
+        let classes = document.categories.iter().map(|category| Class {
+            aim: category.aim,
+            deadline: category.deadline,
+            worth: category.worth,
+            late_value: category.late_value,
+            retry_safety: match category.effect.as_str() {
                 "repeatable" => RetrySafety::Repeatable,
                 "by_key" => RetrySafety::Keyed,
                 _ => RetrySafety::Unsafe,
             },
-            deduplication_scope: if c.group == "all" {
+            deduplication_scope: if category.group == "all" {
                 DeduplicationScope::All
             } else {
                 DeduplicationScope::Zone
             },
-            deduplication_window: c.window,
-            in_order: c.one_at_a_time,
-            streaming: c.streaming,
+            deduplication_window: category.window,
+            in_order: category.one_at_a_time,
+            streaming: category.streaming,
         });
         let settings = Settings {
-            replicas: env.balancers,
-            slots: env.family_info.slots,
-            max_held: env.limits.max_open,
-            max_attempts: env.limits.try_limit,
-            may_cancel: env.limits.may_cancel,
-            may_probe: env.limits.may_probe,
-            may_duplicate: env.limits.may_duplicate,
-            may_send_retry_after: env.limits.retry_after,
-            max_retry_after: env.limits.max_retry_after,
-            subscribe_to_discovery: env.discovery == "on_request",
+            replicas: document.balancers,
+            slots: document.family_info.slots,
+            max_held: document.limits.max_open,
+            max_attempts: document.limits.try_limit,
+            may_cancel: document.limits.may_cancel,
+            may_probe: document.limits.may_probe,
+            may_duplicate: document.limits.may_duplicate,
+            may_send_retry_after: document.limits.retry_after,
+            max_retry_after: document.limits.max_retry_after,
+            subscribe_to_discovery: document.discovery == "on_request",
             classes: classes.collect(),
-            decay: if env.family_info.decay == "halving" { WorthDecay::Halving } else { WorthDecay::Linear },
+            decay: if document.family_info.decay == "halving" {
+                WorthDecay::Halving
+            } else {
+                WorthDecay::Linear
+            },
             contract: DestinationContract {
-                drain_grace: env.contract.stop_sending_within,
-                cold_capacity_share: env.contract.cold_from,
-                ramp_time: env.contract.ramp_time,
-                overload_factor: env.contract.tip_multiple,
-                overload_duration: env.contract.tip_after,
-                order_pause: env.contract.order_pause,
-                max_list_poll_interval: env.contract.ask_within,
+                drain_grace: document.contract.stop_sending_within,
+                cold_capacity_share: document.contract.cold_from,
+                ramp_time: document.contract.ramp_time,
+                overload_factor: document.contract.tip_multiple,
+                overload_duration: document.contract.tip_after,
+                order_pause: document.contract.order_pause,
+                max_list_poll_interval: document.contract.ask_within,
             },
-            batch_by_kind: env.family_info.batch_by_kind,
-            route_per_endpoint: env.family_info.own_limits,
-            zone_fee: env.family_info.zone_fee,
-            refused_price: env.family_info.refused_price,
-            listed_rate: match env.weight_source.as_str() {
+            batch_by_kind: document.family_info.batch_by_kind,
+            route_per_endpoint: document.family_info.own_limits,
+            zone_fee: document.family_info.zone_fee,
+            refused_price: document.family_info.refused_price,
+            listed_rate: match document.weight_source.as_str() {
                 "nominal" => ListedRate::Exact,
                 "rough" => ListedRate::Rough,
                 _ => ListedRate::Unknown,
             },
-            connection_idle_timeout: env.limits.conn_idle,
-            connect_timeout: env.limits.dial_timeout,
-            streams_per_connection: env.limits.streams_per_conn,
-            tick: env.tick,
+            connection_idle_timeout: document.limits.conn_idle,
+            connect_timeout: document.limits.dial_timeout,
+            streams_per_connection: document.limits.streams_per_conn,
+            tick: document.tick,
         };
         DeploymentSettings {
             settings,
             class_names,
-            kind_names: env.machine_types,
-            zone_names: env.dcs,
+            kind_names: document.machine_types,
+            zone_names: document.dcs,
             share_left_index,
             rate_index,
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -12,8 +12,8 @@
     /// Calls are bounded by the window and the rate limit only.
     #[default]
     Closed,
-    /// Only single half-open probes are sent: the next one not before `next_probe_at`, and then spaced by a backoff in
-    /// microseconds.
+    /// Only single half-open probes are sent: the next one not before `next_probe_at`, and then spaced by a
+    /// backoff in microseconds.
     Open { next_probe_at: Micros, backoff: f64 },
     /// The load rises gradually since the first response after an outage.
     SlowStart { since: Micros },
@@ -42,8 +42,8 @@
     pub cancelled: bool,
 }
 
-/// Endpoints of a destination that share one limit, one rate limit and one circuit breaker: all of its endpoints, or a
-/// single one where the kind of destination has a route per endpoint.
+/// Endpoints of a destination that share one limit, one rate limit and one circuit breaker: all of its
+/// endpoints, or a single one where the kind of destination has a route per endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Route {
     pub destination: DestinationId,
@@ -155,8 +155,8 @@
     pub cold_since: Option<Micros>,
 }
 
-/// Key of a queue of a destination: the class, the zone (plus one, 0 for any) to which its messages are bound, and
-/// whether they were restored after a restart without having been sent.
+/// Key of a queue of a destination: the class, the zone (plus one, 0 for any) to which its messages are
+/// bound, and whether they were restored after a restart without having been sent.
 pub(crate) type QueueKey = (usize, u32, bool);
 
 /// An attempt to deliver a message.
