--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -221,11 +221,11 @@
     pub fn decide(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now;
         let carried_out_at = self.now + self.processing_lag;
-        let needs_no_end = |message: &Message| {
+        let may_wait = |message: &Message| {
             !self.is_due(message) || message.attempts.iter().any(|attempt| attempt.outcome.is_none())
         };
         let timers = self.message_timers.range(..=(carried_out_at, MessageId::MAX));
-        let due = timers.filter(|(at, id)| *at <= now || !self.messages.get(id).is_none_or(needs_no_end));
+        let due = timers.filter(|(at, id)| *at <= now || !self.messages.get(id).is_none_or(may_wait));
         for (at, id) in due.copied().collect::<Vec<_>>() {
             (at <= now).then(|| self.message_timers.remove(&(at, id)));
             let Some(message) = self.messages.get(&id) else { continue };
