--- a/scale/src/fleet/arguments.rs
+++ b/scale/src/fleet/arguments.rs
@@ -1,26 +1,26 @@
 //! Arguments of `scale fleet`.
 
 use crate::arguments::CommonArguments;
-use crate::fleet::plan::Case;
+use crate::bounded_integer::BoundedInteger;
+use crate::fleet::plan::OutageCase;
 use crate::fleet::settings::FleetSize;
-use crate::range::Bounded;
 use clap::Args;
 
-/// Points that are simulated at the same time.
-pub(super) type ThreadCount = Bounded<1, 4>;
+/// Number of points that are simulated in parallel.
+pub(super) type ThreadCount = BoundedInteger<1, 4>;
 
 /// Arguments of `scale fleet`.
 #[derive(Debug, Args)]
 pub struct FleetArguments {
     #[command(flatten)]
     pub(super) common: CommonArguments,
-    /// Simulate only these outages.
+    /// Simulate only these kinds of outage.
     #[arg(long, value_delimiter = ',', value_enum)]
-    pub(super) cases: Vec<Case>,
-    /// Fleet sizes, in place of the scenario's.
+    pub(super) cases: Vec<OutageCase>,
+    /// Fleet sizes; overrides the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "COUNT")]
     pub(super) sizes: Vec<FleetSize>,
-    /// Points that are simulated at the same time. The figures do not depend on it.
+    /// Number of points that are simulated in parallel. The results do not depend on it.
     #[arg(long, default_value = "4")]
     pub(super) threads: ThreadCount,
 }
--- a/scale/src/fleet/settings.rs
+++ b/scale/src/fleet/settings.rs
@@ -1,19 +1,19 @@
-//! The scenario of `scale fleet`: its keys and their ranges.
+//! Scenario of `scale fleet`: its keys and their ranges.
 
+use crate::bounded_integer::BoundedInteger;
 use crate::deployment::{ClassSettings, Deployment, SECOND};
-use crate::range::Bounded;
 use hatchline::{Micros, Settings};
 use serde::Deserialize;
 use std::slice;
 
-/// A number of replicas.
-pub(super) type FleetSize = Bounded<1, 100_000>;
-/// A span in seconds, an hour at most.
-type Seconds = Bounded<1, 3_600>;
-/// The time of an answer in milliseconds.
-type AnswerMilliseconds = Bounded<1, 60_000>;
+/// Number of replicas.
+pub(super) type FleetSize = BoundedInteger<1, 100_000>;
+/// A duration in seconds, up to an hour.
+type Seconds = BoundedInteger<1, 3_600>;
+/// Response time in milliseconds.
+type ResponseMilliseconds = BoundedInteger<1, 60_000>;
 
-/// A scenario file.
+/// Contents of a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetScenario {
@@ -29,32 +29,32 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetPolicySettings {
-    pub slots: Bounded<1, 1_000_000>,
-    pub max_attempts: Bounded<1, 1_000>,
-    pub max_held: Bounded<1, 2_000_000_000>,
+    pub slots: BoundedInteger<1, 1_000_000>,
+    pub max_attempts: BoundedInteger<1, 1_000>,
+    pub max_held: BoundedInteger<1, 2_000_000_000>,
     pub class: ClassSettings,
 }
 
-/// The ratio of traffic to destinations, and the part of it that is simulated.
+/// The ratio of traffic to destinations, and how many destinations are simulated.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct TrafficSettings {
-    pub events_per_second_per_replica: Bounded<1, 1_000_000>,
-    pub destinations_per_replica: Bounded<1, 1_000_000>,
-    pub sampled_destinations: Bounded<1, 10_000>,
+    pub events_per_second_per_replica: BoundedInteger<1, 1_000_000>,
+    pub destinations_per_replica: BoundedInteger<1, 1_000_000>,
+    pub sampled_destinations: BoundedInteger<1, 10_000>,
 }
 
-/// Each of the sampled destinations.
+/// Properties of each sampled destination.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DestinationSettings {
-    pub capacity_per_second: Bounded<1, 1_000_000>,
+    pub capacity_per_second: BoundedInteger<1, 1_000_000>,
     pub is_capacity_listed: bool,
-    pub service_time_ms: AnswerMilliseconds,
-    pub refusal_time_ms: AnswerMilliseconds,
+    pub service_time_ms: ResponseMilliseconds,
+    pub refusal_time_ms: ResponseMilliseconds,
 }
 
-/// Spans of virtual time.
+/// Durations of the phases in virtual time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PhaseSettings {
@@ -64,7 +64,7 @@
 }
 
 impl FleetScenario {
-    /// The settings of each policy in a fleet of this size.
+    /// Returns the policy settings of each replica in a fleet of this size.
     pub fn policy_settings(&self, replicas: u64) -> Settings {
         let deployment = Deployment {
             replicas,
@@ -79,18 +79,18 @@
 }
 
 impl TrafficSettings {
-    /// Events a second of one destination, over the whole fleet.
+    /// Returns the events per second for one destination, over the whole fleet.
     pub fn events_per_second_per_destination(&self) -> f64 {
         self.events_per_second_per_replica.get() as f64 / self.destinations_per_replica.get() as f64
     }
 
-    /// Events a second of all sampled destinations, over the whole fleet.
+    /// Returns the events per second for all sampled destinations, over the whole fleet.
     pub fn simulated_events_per_second(&self) -> f64 {
         self.events_per_second_per_destination() * self.sampled_destinations.get() as f64
     }
 }
 
-/// A span in microseconds.
-pub(super) fn micros(span: Seconds) -> Micros {
+/// Converts a duration to microseconds.
+pub(super) fn to_micros(span: Seconds) -> Micros {
     span.get() * SECOND
 }
--- a/scale/src/policy/experiment.rs
+++ b/scale/src/policy/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment: runs the points, prints the tables and writes the records.
+//! Runs the points of the experiment, prints the tables and writes the records.
 
 use crate::error::ScaleError;
 use crate::interrupt::Interrupt;
@@ -17,7 +17,7 @@
 use indicatif::ProgressBar;
 use std::io::{self, Write};
 
-/// Runs the experiment from its arguments to its results.
+/// Runs the experiment with these arguments and reports its results.
 pub(super) fn run(arguments: &PolicyArguments) -> Result<(), ScaleError> {
     let plan = Plan::load(arguments)?;
     let records = arguments.common.json.as_deref().map(RecordFile::create).transpose()?;
@@ -35,20 +35,20 @@
     if let Some(records) = records {
         write_records(records, &plan, &skipped, &series)?;
     }
-    outcome.stopped.map_or(Ok(()), Err)
+    outcome.stop_error.map_or(Ok(()), Err)
 }
 
 fn heading(plan: &Plan) -> String {
-    let (least, most) = plan.request_range();
+    let (min_requests, max_requests) = plan.request_range();
     format!(
         "scenario {}, seed {}, commit {COMMIT}\n\
          {} runs a point, each in a process of its own; figures are median [least, greatest] of the runs\n\
-         requests measured in a run: {least} to {most}, as many as fit a time budget of {:?} of processor time a point",
+         requests measured in a run: {min_requests} to {max_requests}, as many as fit a time budget of {:?} of processor time a point",
         plan.scenario_name, plan.seed, plan.runs, plan.time_budget
     )
 }
 
-/// The points that fit the machine, and those that do not.
+/// Splits the points into those that fit the machine's memory and those that are skipped.
 fn select_points(plan: &Plan) -> Result<(Vec<Point>, Vec<SkippedPoint>), ScaleError> {
     let machine_bytes = machine_bytes()?;
     let mut selected = Vec::new();
@@ -62,15 +62,15 @@
     Ok((selected, skipped))
 }
 
-/// What was measured, and why the rest was not.
+/// What was measured, and the error that ended the experiment early, if any.
 #[derive(Debug)]
-struct Outcome {
+struct ExperimentOutcome {
     results: Vec<PointResult>,
-    stopped: Option<ScaleError>,
+    stop_error: Option<ScaleError>,
 }
 
-/// Runs one series after the other, until a run fails or the user interrupts.
-fn run_points(plan: &Plan, points: &[Point], interrupt: &Interrupt) -> Outcome {
+/// Runs the series in turn until a run fails or the user interrupts.
+fn run_points(plan: &Plan, points: &[Point], interrupt: &Interrupt) -> ExperimentOutcome {
     let progress = progress_bar(points.len() as u64 * plan.runs);
     let mut results: Vec<_> = points.iter().copied().map(PointResult::new).collect();
     let by_series = results.chunk_by_mut(|one, next| one.point.series == next.point.series);
@@ -78,11 +78,11 @@
         by_series.into_iter().try_for_each(|series| run_series(plan, series, interrupt, &progress));
     progress.finish_and_clear();
     results.retain(|result| !result.runs.is_empty());
-    Outcome { results, stopped: finished.err() }
+    ExperimentOutcome { results, stop_error: finished.err() }
 }
 
-/// Makes all runs of a series. The points take turns, so that a change in the load of the machine affects all of them
-/// and shows in the spread.
+/// Makes all runs of a series. The points alternate, so that a change in the load of the machine affects all of them
+/// and shows in the difference between minimum and maximum.
 fn run_series(
     plan: &Plan, series: &mut [PointResult], interrupt: &Interrupt, progress: &ProgressBar,
 ) -> Result<(), ScaleError> {
@@ -90,7 +90,7 @@
         for result in series.iter_mut() {
             let point = result.point;
             progress.set_message(format!("{} {}", point.size(), point.series));
-            let Some(measurement) = run_process::start(&plan.run_plan(point), interrupt)? else {
+            let Some(measurement) = run_process::spawn_run(&plan.run_plan(point), interrupt)? else {
                 let (done, planned) = (progress.position(), progress.length().unwrap_or_default());
                 return Err(ScaleError::Interrupted { done, planned });
             };
@@ -111,14 +111,14 @@
 }
 
 impl<'a> SeriesResults<'a> {
-    /// All series that have results.
+    /// Groups the results by series, without series that have none.
     fn collect(results: &'a [PointResult]) -> Vec<SeriesResults<'a>> {
-        let of_series = |series: &Series| {
+        let series_results = |series: &Series| {
             let results: Vec<_> = results.iter().filter(|result| result.point.series == *series).collect();
             let slopes = slopes(&results);
             SeriesResults { series: *series, results, slopes }
         };
-        let all = Series::value_variants().iter().map(of_series);
+        let all = Series::value_variants().iter().map(series_results);
         all.filter(|series| !series.results.is_empty()).collect()
     }
 }
@@ -131,7 +131,10 @@
     if !slopes.is_empty() {
         writeln!(output, "\nslopes by least squares\n{}", slope_table(&slopes))?;
     } else {
-        writeln!(output, "\nno slopes: they take {MIN_RUNS_FOR_SLOPES} runs of two points of a series")?;
+        writeln!(
+            output,
+            "\nno slopes: they need {MIN_RUNS_FOR_SLOPES} runs of at least two points of a series"
+        )?;
     }
     output.flush()?;
     Ok(())
--- a/scale/src/policy/run_process.rs
+++ b/scale/src/policy/run_process.rs
@@ -1,6 +1,7 @@
-//! A run in a process of its own: so neither time nor memory depends on the runs before it.
+//! A run in a process of its own, so that neither CPU time nor memory depends on earlier runs.
 //!
-//! The plan goes to the process's standard input, the measurement comes from its standard output, both as JSON.
+//! The plan is written to standard input of the process and the measurement read from its standard output, both as
+//! JSON.
 
 use crate::error::ScaleError;
 use crate::interrupt::Interrupt;
@@ -15,11 +16,11 @@
 
 /// Name of the subcommand that makes one run.
 pub const RUN_SUBCOMMAND: &str = "policy-run";
-/// Span between two looks at whether the run is over.
+/// Interval at which the process is polled for its end.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Makes the run whose plan stands on standard input.
-pub(super) fn serve() -> Result<(), ScaleError> {
+/// Makes the run whose plan is on standard input.
+pub(super) fn run_from_stdin() -> Result<(), ScaleError> {
     let plan: RunPlan = serde_json::from_reader(io::stdin().lock())?;
     let measurement = run::measure(&plan)?;
     let mut output = io::stdout().lock();
@@ -28,8 +29,8 @@
     Ok(())
 }
 
-/// Makes a run in a new process; none if the user interrupts it.
-pub(super) fn start(plan: &RunPlan, interrupt: &Interrupt) -> Result<Option<RunMeasurement>, ScaleError> {
+/// Makes a run in a new process; `None` if the user interrupts it.
+pub(super) fn spawn_run(plan: &RunPlan, interrupt: &Interrupt) -> Result<Option<RunMeasurement>, ScaleError> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg(RUN_SUBCOMMAND)
         .stdin(Stdio::piped())
@@ -39,23 +40,23 @@
     if let Some(input) = child.stdin.take() {
         serde_json::to_writer(input, plan)?;
     }
-    if !wait(&mut child, interrupt)? {
+    if !wait_unless_interrupted(&mut child, interrupt)? {
         return Ok(None);
     }
     let output = child.wait_with_output()?;
-    // The process gets the interrupts of the terminal too, and may have ended by one.
+    // The process also receives SIGINT from the terminal and may have been ended by it.
     if interrupt.is_received() || output.status.signal() == Some(Signal::INT.as_raw()) {
         return Ok(None);
     }
     if !output.status.success() {
         let errors = String::from_utf8_lossy(&output.stderr);
-        return Err(ScaleError::Run(format!("{}: {}", output.status, errors.trim())));
+        return Err(ScaleError::RunFailed(format!("{}: {}", output.status, errors.trim())));
     }
     Ok(Some(serde_json::from_slice(&output.stdout)?))
 }
 
-/// Waits for the process to end, or ends it where the user interrupts; gives whether it ended by itself.
-fn wait(child: &mut Child, interrupt: &Interrupt) -> io::Result<bool> {
+/// Waits for the process to end, or kills it if the user interrupts. Returns whether it ended by itself.
+fn wait_unless_interrupted(child: &mut Child, interrupt: &Interrupt) -> io::Result<bool> {
     while child.try_wait()?.is_none() {
         if interrupt.is_received() {
             child.kill()?;
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -1,78 +1,82 @@
-//! What the forwarder has done of late, in one line of the log a second at most: where the slots and the room
-//! are, how calls ended, and how far behind the loop and the notices are.
+//! The interval log line, written at most once a second: how messages and calls have ended since the last
+//! one, how much is held and in flight, and how far the event loop and the notices lag behind.
 
 use crate::write_ahead_log::NonDeliveryNotice;
 use hatchline::{Micros, Outcome};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Lines on single messages between two of the lines a second.
-const UNDELIVERED_LINES: u32 = 10;
+/// Log lines on single undelivered messages per interval.
+const MAX_UNDELIVERED_LINES: u32 = 10;
 
-/// Counts since the last line.
+/// Counters since the last interval log line.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
-    pub taken: u32,
+pub(crate) struct IntervalStats {
+    pub accepted: u32,
     pub refused: u32,
-    /// Refused for want of time, before they were decided on.
-    pub turned_away: u32,
+    /// Refused before the policy decided, since their requests had waited too long to be read.
+    pub refused_late: u32,
     handed_back: u32,
     given_up: u32,
-    /// Clients that went before their answer was written.
-    pub gone: u32,
-    /// Calls by their outcome, and for how long they held their slots.
-    ended: [u32; 9],
-    /// Answers that told their outcome, but did not come to their end.
-    pub cut_short: u32,
-    busy: [Duration; 9],
-    /// Resets of connections that had stood idle, the shortest such span, and the longest that did no harm.
-    stale: u32,
-    stale_from: Option<Duration>,
-    sound_to: Duration,
-    pub dialled: u32,
+    /// Clients that disconnected before their response was written.
+    pub clients_gone: u32,
+    /// Calls by outcome, and the total time for which they held their slots.
+    calls_by_outcome: [u32; 9],
+    /// Responses whose status arrived, but whose rest did not.
+    pub truncated_responses: u32,
+    call_time_by_outcome: [Duration; 9],
+    /// Resets on connections that had been idle, the shortest idle time among these, and the longest idle
+    /// time after which a call succeeded.
+    stale_resets: u32,
+    shortest_stale_idle: Option<Duration>,
+    longest_safe_idle: Duration,
+    pub connections_opened: u32,
     /// Longest time that one round took.
     pub longest_round: Micros,
 }
 
-/// What a restart found taken on and untried, its time not over: it is still to be tried.
+/// What became of the messages that a restart found accepted, not yet attempted and within their deadlines.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Untried {
-    /// When that was; numbers below are from before.
-    at: Micros,
-    below: u64,
-    found: u32,
-    /// Given up without a call.
-    lost: u32,
+pub(crate) struct RecoveryStats {
+    /// When the restart was, and the first message number assigned after it.
+    recovered_at: Micros,
+    first_new_number: u64,
+    /// Number of these messages.
+    untried: u32,
+    /// Those of them that ended undelivered without an attempt.
+    given_up_untried: u32,
 }
 
-impl Untried {
-    pub fn before(below: u64, at: Micros) -> Untried {
-        Untried { at, below, found: 0, lost: 0 }
+impl RecoveryStats {
+    pub fn new(first_new_number: u64, recovered_at: Micros) -> RecoveryStats {
+        RecoveryStats { recovered_at, first_new_number, untried: 0, given_up_untried: 0 }
     }
 
-    /// A message was found whose time lasts until then, after so many attempts.
-    pub fn found(&mut self, expires: Micros, attempts: u32) {
-        self.found += u32::from(expires > self.at && attempts == 0);
+    /// Counts a restored message if its deadline is not over and it was not attempted.
+    pub fn record_restored(&mut self, expires: Micros, attempts: u32) {
+        self.untried += u32::from(expires > self.recovered_at && attempts == 0);
     }
 
-    /// A message ends undelivered.
-    pub fn ended(&mut self, number: u64, expires: Micros, attempts: u32) {
-        self.lost += u32::from(number < self.below && expires > self.at && attempts == 0);
+    /// Counts the undelivered end of such a message.
+    pub fn record_undelivered(&mut self, number: u64, expires: Micros, attempts: u32) {
+        self.given_up_untried +=
+            u32::from(number < self.first_new_number && expires > self.recovered_at && attempts == 0);
     }
 }
 
-/// Where things stand when the line is written.
-pub(crate) struct Standing {
-    pub untried: Untried,
-    pub held: usize,
-    pub waiting: usize,
-    pub calls: usize,
-    pub idle: usize,
-    pub notices: usize,
-    pub lag: Duration,
+/// Values at the time at which the line is written.
+pub(crate) struct Gauges {
+    pub recovery: RecoveryStats,
+    pub held_messages: usize,
+    pub pending_sends: usize,
+    pub calls_in_flight: usize,
+    pub idle_connections: usize,
+    pub pending_notices: usize,
+    pub event_loop_lag: Duration,
 }
 
-const NAMES: [&str; 9] = [
+/// Outcomes as named in the line, in the order of [`outcome_index`].
+const OUTCOME_NAMES: [&str; 9] = [
     "ok",
     "error",
     "full",
@@ -84,7 +88,7 @@
     "too many connections",
 ];
 
-fn place(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
@@ -98,26 +102,29 @@
     }
 }
 
-impl Tally {
-    pub fn ended(&mut self, outcome: Outcome, took: Duration, idle_for: Option<Duration>) {
-        self.ended[place(outcome)] += 1;
-        self.busy[place(outcome)] += took;
-        let Some(span) = idle_for else { return };
+impl IntervalStats {
+    /// Counts a call that has ended; `idle_for` tells how long its reused connection had been idle.
+    pub fn record_call(&mut self, outcome: Outcome, took: Duration, idle_for: Option<Duration>) {
+        self.calls_by_outcome[outcome_index(outcome)] += 1;
+        self.call_time_by_outcome[outcome_index(outcome)] += took;
+        let Some(idle_time) = idle_for else { return };
         match outcome {
             Outcome::Reset => {
-                self.stale += 1;
-                self.stale_from = Some(self.stale_from.map_or(span, |s| s.min(span)));
+                self.stale_resets += 1;
+                self.shortest_stale_idle =
+                    Some(self.shortest_stale_idle.map_or(idle_time, |shortest| shortest.min(idle_time)));
             }
-            Outcome::Ok => self.sound_to = self.sound_to.max(span),
+            Outcome::Ok => self.longest_safe_idle = self.longest_safe_idle.max(idle_time),
             _ => {}
         }
     }
 
-    /// A message that was taken on ends by a notice; a line on it, unless there were many of late.
-    pub fn undelivered(
+    /// Counts an accepted message that ends by a notice. Returns a log line for it, up to
+    /// [`MAX_UNDELIVERED_LINES`] per interval.
+    pub fn record_undelivered(
         &mut self, id: &str, notice: NonDeliveryNotice, attempts: u32, left: i64,
     ) -> Option<String> {
-        let what = match notice {
+        let result = match notice {
             NonDeliveryNotice::GivenUp => "given up",
             NonDeliveryNotice::HandedBack { .. } => "handed back",
         };
@@ -125,44 +132,59 @@
             NonDeliveryNotice::GivenUp => self.given_up += 1,
             NonDeliveryNotice::HandedBack { .. } => self.handed_back += 1,
         }
-        let few = self.given_up + self.handed_back <= UNDELIVERED_LINES;
-        few.then(|| format!("message {id}: {what} after {attempts} attempts, {left} us before its time"))
+        let below_limit = self.given_up + self.handed_back <= MAX_UNDELIVERED_LINES;
+        below_limit
+            .then(|| format!("message {id}: {result} after {attempts} attempts, {left} us before its time"))
     }
 
-    /// The line, and a fresh count; nothing for a span in which nothing happened.
-    pub fn line(&mut self, s: &Standing) -> Option<String> {
-        let t = std::mem::take(self);
-        let idle =
-            t.taken + t.refused + t.turned_away + t.handed_back + t.given_up + t.ended.iter().sum::<u32>()
-                == 0;
-        if idle && s.held == 0 && s.notices == 0 {
+    /// Renders the line and resets the counters. Returns nothing for an idle interval.
+    pub fn take_line(&mut self, gauges: &Gauges) -> Option<String> {
+        let stats = std::mem::take(self);
+        let idle = stats.accepted
+            + stats.refused
+            + stats.refused_late
+            + stats.handed_back
+            + stats.given_up
+            + stats.calls_by_outcome.iter().sum::<u32>()
+            == 0;
+        if idle && gauges.held_messages == 0 && gauges.pending_notices == 0 {
             return None;
         }
         let mut text = format!(
             "taken {} refused {} turned away {} gone {}; handed back {} given up {}; calls",
-            t.taken, t.refused, t.turned_away, t.gone, t.handed_back, t.given_up
+            stats.accepted,
+            stats.refused,
+            stats.refused_late,
+            stats.clients_gone,
+            stats.handed_back,
+            stats.given_up
         );
-        for (i, name) in NAMES.iter().enumerate().filter(|(i, _)| t.ended[*i] > 0) {
-            let _ = write!(text, " {name} {} ({} ms),", t.ended[i], t.busy[i].as_millis());
+        for (i, name) in OUTCOME_NAMES.iter().enumerate().filter(|(i, _)| stats.calls_by_outcome[*i] > 0) {
+            let _ = write!(
+                text,
+                " {name} {} ({} ms),",
+                stats.calls_by_outcome[i],
+                stats.call_time_by_outcome[i].as_millis()
+            );
         }
         let _ = write!(
             text,
             " cut short {}, dialled {}, stale {} (idle for {:?} or more, sound to {:?}); held {} waiting {} calls out {} \
              idle connections {} notices {}; of {} found untried at the start {} given up with no call; longest round {} us, turn of the last second {} us",
-            t.cut_short,
-            t.dialled,
-            t.stale,
-            t.stale_from.unwrap_or_default(),
-            t.sound_to,
-            s.held,
-            s.waiting,
-            s.calls,
-            s.idle,
-            s.notices,
-            s.untried.found,
-            s.untried.lost,
-            t.longest_round,
-            s.lag.as_micros()
+            stats.truncated_responses,
+            stats.connections_opened,
+            stats.stale_resets,
+            stats.shortest_stale_idle.unwrap_or_default(),
+            stats.longest_safe_idle,
+            gauges.held_messages,
+            gauges.pending_sends,
+            gauges.calls_in_flight,
+            gauges.idle_connections,
+            gauges.pending_notices,
+            gauges.recovery.untried,
+            gauges.recovery.given_up_untried,
+            stats.longest_round,
+            gauges.event_loop_lag.as_micros()
         );
         Some(text)
     }
@@ -173,20 +195,24 @@
     use super::*;
 
     #[test]
-    fn a_line_tells_what_happened_since_the_last_and_a_quiet_span_has_none() {
-        let quiet = Standing {
-            untried: Untried::default(),
-            held: 0,
-            waiting: 0,
-            calls: 0,
-            idle: 3,
-            notices: 0,
-            lag: Duration::ZERO,
+    fn line_covers_one_interval_and_is_omitted_when_idle() {
+        let quiet = Gauges {
+            recovery: RecoveryStats::default(),
+            held_messages: 0,
+            pending_sends: 0,
+            calls_in_flight: 0,
+            idle_connections: 3,
+            pending_notices: 0,
+            event_loop_lag: Duration::ZERO,
         };
-        let mut tally = Tally { taken: 2, ..Tally::default() };
-        tally.ended(Outcome::Reset, Duration::from_millis(30), None);
-        tally.ended(Outcome::Reset, Duration::from_millis(5), Some(Duration::from_millis(700)));
-        let line = tally.line(&quiet).expect("something happened");
+        let mut interval_stats = IntervalStats { accepted: 2, ..IntervalStats::default() };
+        interval_stats.record_call(Outcome::Reset, Duration::from_millis(30), None);
+        interval_stats.record_call(
+            Outcome::Reset,
+            Duration::from_millis(5),
+            Some(Duration::from_millis(700)),
+        );
+        let line = interval_stats.take_line(&quiet).expect("something happened");
         assert!(
             line.contains("taken 2")
                 && line.contains("reset 2 (35 ms),")
@@ -194,29 +220,32 @@
                 && !line.contains("ok "),
             "{line}"
         );
-        assert_eq!(tally.line(&quiet), None);
-        let stuck = Standing { held: 1, ..quiet };
-        assert!(tally.line(&stuck).is_some_and(|l| l.contains("held 1")));
+        assert_eq!(interval_stats.take_line(&quiet), None);
+        let stuck = Gauges { held_messages: 1, ..quiet };
+        assert!(interval_stats.take_line(&stuck).is_some_and(|l| l.contains("held 1")));
     }
 
     #[test]
-    fn messages_that_end_undelivered_have_a_line_each_while_they_are_few() {
-        let mut tally = Tally::default();
-        let lines: Vec<_> =
-            (0..50).filter_map(|_| tally.undelivered("m1", NonDeliveryNotice::GivenUp, 2, 3_000)).collect();
-        assert_eq!(lines.len(), UNDELIVERED_LINES as usize);
+    fn undelivered_messages_are_logged_up_to_a_limit() {
+        let mut interval_stats = IntervalStats::default();
+        let lines: Vec<_> = (0..50)
+            .filter_map(|_| interval_stats.record_undelivered("m1", NonDeliveryNotice::GivenUp, 2, 3_000))
+            .collect();
+        assert_eq!(lines.len(), MAX_UNDELIVERED_LINES as usize);
         assert_eq!(lines[0], "message m1: given up after 2 attempts, 3000 us before its time");
-        let quiet = Standing {
-            untried: Untried::default(),
-            held: 0,
-            waiting: 0,
-            calls: 0,
-            idle: 0,
-            notices: 0,
-            lag: Duration::ZERO,
+        let quiet = Gauges {
+            recovery: RecoveryStats::default(),
+            held_messages: 0,
+            pending_sends: 0,
+            calls_in_flight: 0,
+            idle_connections: 0,
+            pending_notices: 0,
+            event_loop_lag: Duration::ZERO,
         };
-        let line = tally.line(&quiet);
+        let line = interval_stats.take_line(&quiet);
         assert!(line.is_some_and(|l| l.contains("given up 50")));
-        assert!(tally.undelivered("m2", NonDeliveryNotice::HandedBack { retry_in_ms: 0 }, 0, 0).is_some());
+        assert!(interval_stats
+            .record_undelivered("m2", NonDeliveryNotice::HandedBack { retry_in_ms: 0 }, 0, 0)
+            .is_some());
     }
 }
