--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -262,7 +262,7 @@
         }
         let is_slow_start = self.routes[route_index].breaker.is_slow_start();
         (previous_breaker != self.routes[route_index].breaker && is_slow_start)
-            .then(|| self.log(format!("destination of {target} answers again: slow start")));
+            .then(|| self.log(format!("destination of endpoint {target} responds again: slow start")));
     }
 
     /// Handles a connection rejected by an endpoint that has as many as it accepts, which says nothing of its
@@ -299,7 +299,9 @@
         (route.incident_since, route.window, route.last_result_at) =
             (route.incident_since.or(Some(self.now)), 1.0, self.now);
         let first_target = route.first_target;
-        self.log(format!("destination of {first_target} looks out: single trials"));
+        self.log(format!(
+            "destination of endpoint {first_target} is failing: only half-open probes are sent"
+        ));
     }
 
     /// Since when a route has been silent: calls are overdue, or have waited improbably long in sum, and none
