--- a/src/destinations.rs
+++ b/src/destinations.rs
@@ -43,14 +43,15 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Destinations {
     all: BTreeMap<DestinationId, Destination>,
+    /// Destinations that have messages ready to be sent.
     ready: BTreeSet<DestinationId>,
-    /// Those of them that may be able to send now. The others are blocked until a known time.
+    /// Ready destinations that may be able to send now. The other ready ones are blocked until a known time.
     #[serde(skip)]
     sendable: BTreeSet<DestinationId>,
-    /// When those that are ready and not sendable are unblocked.
+    /// When each blocked destination is to be unblocked.
     #[serde(skip)]
     blocked_until: BTreeMap<DestinationId, Micros>,
-    /// The same in the order of time.
+    /// The same, ordered by time.
     #[serde(skip)]
     unblock_times: BTreeSet<(Micros, DestinationId)>,
 }
@@ -65,7 +66,7 @@
         self.all.entry(id).or_default()
     }
 
-    /// All, in the order of their numbers.
+    /// All destinations, in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (DestinationId, &Destination)> {
         self.all.iter().map(|(id, destination)| (*id, destination))
     }
@@ -75,7 +76,7 @@
         self.all.remove(&id).unwrap_or_default()
     }
 
-    /// Those that have messages ready to be sent, in the order of their numbers.
+    /// Destinations that have messages ready to be sent, in the order of their numbers.
     pub fn ready(&self) -> impl Iterator<Item = (DestinationId, &Destination)> {
         self.ready.iter().map(|id| (*id, &self.all[id]))
     }
@@ -109,7 +110,7 @@
         self.sendable.remove(&id);
     }
 
-    /// Those that are ready and not blocked, in the order of their numbers.
+    /// Destinations that are ready and not blocked, in the order of their numbers.
     pub fn sendable(&self) -> impl Iterator<Item = DestinationId> + '_ {
         self.sendable.iter().copied()
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -26,7 +26,7 @@
     /// It may be repeated any number of times.
     #[default]
     Repeatable,
-    /// It may be repeated while the destination deduplicates: it drops repeats of a key for some time.
+    /// It may be repeated within the deduplication window, in which the destination drops repeats of a key.
     Keyed,
     /// It must never take effect twice.
     Unsafe,
@@ -48,7 +48,7 @@
     /// Linearly, down to the late value at the deadline.
     #[default]
     Linear,
-    /// It halves with each further aim, but does not fall below the late value.
+    /// It halves with each further span of one aim, but does not fall below the late value.
     Halving,
 }
 
@@ -80,7 +80,7 @@
 pub struct DestinationContract {
     /// Span after which a drained or removed endpoint gets no new calls.
     pub drain_grace: Micros,
-    /// Least share of its capacity that a destination has when it returns from an outage.
+    /// Minimum share of its full capacity that a destination has when it returns from an outage.
     pub cold_capacity_share: f64,
     /// Span after which it has its full capacity again.
     pub ramp_time: Micros,
@@ -90,12 +90,12 @@
     pub overload_duration: Micros,
     /// Pause of an order key after an attempt that may still be executed.
     pub order_pause: Micros,
-    /// Where the list is fetched: a replica that has not asked for it within this span counts as informed of
-    /// changes.
+    /// Where replicas fetch the list: one that has not requested it within this span is treated as if it knew
+    /// of all changes.
     pub max_list_poll_interval: Micros,
 }
 
-/// What the rate in the list tells of a destination's limit.
+/// What the rate in the list says about a destination's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum ListedRate {
     /// Nothing.
@@ -103,7 +103,7 @@
     Unknown,
     /// Calls a second that the destination accepts from all replicas together.
     Exact,
-    /// The same, but up to half too high or too low.
+    /// Like `Exact`, but up to half too high or too low.
     Rough,
 }
 
@@ -141,7 +141,8 @@
     /// By kind of destination: each endpoint is a route of its own, with its own limit, rate limit and
     /// circuit breaker.
     pub route_per_endpoint: Vec<bool>,
-    /// By zone: price of a message that goes over a route with a single endpoint, in mean worths.
+    /// By zone: price of a message to an endpoint that is a route of its own, as a multiple of the mean worth
+    /// of the classes.
     pub zone_fee: Vec<f64>,
     /// Price of a call that is rejected because of a limit.
     pub refused_price: f64,
@@ -192,8 +193,8 @@
     }
 }
 
-/// State of an endpoint in the list, in the order in which an endpoint leaves. It is independent of its
-/// health.
+/// State of an endpoint in the list, independent of its health. An endpoint that leaves the list passes
+/// through the states in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub enum EndpointState {
     /// Accepts calls.
@@ -240,7 +241,8 @@
 pub struct EndpointCounts {
     /// Endpoints in the list.
     pub listed: usize,
-    /// Those of them that get no calls now: disabled by an operator, or avoided by the policy.
+    /// Those of them that get no calls now: disabled by an operator, ejected after a failure, or behind an
+    /// open circuit breaker.
     pub ejected: usize,
 }
 
@@ -253,7 +255,7 @@
     Error,
     /// Rejected without being executed: over a limit, queue full, closed or draining.
     Rejected,
-    /// No response in time; may have been executed or still be.
+    /// No response in time; may have been executed, or may still be.
     TimedOut,
     /// No connection was made; never executed.
     ConnectFailed,
@@ -263,8 +265,8 @@
     Cancelled,
     /// Not sent at all: no slot, the message has ended, or no attempts are left.
     NotSent,
-    /// A new connection was rejected by an endpoint that is up, since it has as many as it accepts, including
-    /// idle ones; never executed.
+    /// An endpoint that is up rejected a new connection because it already has as many as it accepts, idle
+    /// ones included; never executed.
     TooManyConnections,
 }
 
@@ -276,7 +278,7 @@
     }
 }
 
-/// What a destination reports of its limit with a response: not exact, and outdated by some time.
+/// A destination's report of its limit, sent with a response. It is inexact and somewhat out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// Share of the allowance that is left.
@@ -349,14 +351,14 @@
     StreamStarted {
         /// The message.
         id: MessageId,
-        /// Its attempt, from 0.
+        /// Number of its attempt, from 0.
         attempt: u32,
     },
     /// An attempt has ended. Each [`Action::Send`] leads to exactly one such event.
     AttemptEnded {
         /// The message.
         id: MessageId,
-        /// Its attempt, from 0.
+        /// Number of its attempt, from 0.
         attempt: u32,
         /// Endpoint to which it was sent.
         target: TargetId,
@@ -368,7 +370,7 @@
         message_ended: bool,
         /// For [`Outcome::Rejected`]: the wait that the destination asks for, 0 for none.
         retry_after: Micros,
-        /// What the destination reports of its limit.
+        /// The destination's report of its limit, if it sent one.
         report: Option<LimitReport>,
     },
     /// A health check has ended.
@@ -379,7 +381,7 @@
         outcome: Outcome,
         /// Span since it was sent.
         took: Micros,
-        /// What the destination reports of its limit.
+        /// The destination's report of its limit, if it sent one.
         report: Option<LimitReport>,
     },
     /// The client no longer waits for this message.
@@ -394,7 +396,7 @@
     },
     /// A message from another replica, where replicas may communicate.
     PeerMessage {
-        /// Rank of the replica.
+        /// Number of the sending replica.
         from: u32,
         /// Content of the message.
         data: Vec<u8>,
@@ -417,7 +419,7 @@
     Cancel {
         /// The message.
         id: MessageId,
-        /// Its attempt, from 0.
+        /// Number of its attempt, from 0.
         attempt: u32,
     },
     /// End the message undelivered. The client may safely submit it again.
@@ -458,7 +460,7 @@
     FetchList,
     /// Send a message to another replica, or to all.
     Tell {
-        /// Rank of the replica; all others if absent.
+        /// Number of the receiving replica; all others if absent.
         to: Option<u32>,
         /// At most 256 bytes.
         data: Vec<u8>,
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -20,7 +20,8 @@
     pub destination: DestinationId,
     pub order: ListingOrder,
     pub zone: u32,
-    /// The kind of the destination. A kind too large for the field is in no setting by kind either.
+    /// The kind of the destination. A kind too large for this field has no entry in the settings by kind
+    /// either.
     pub kind: u16,
     pub state: EndpointState,
 }
@@ -40,7 +41,7 @@
     next_order: ListingOrder,
     /// When each removed endpoint was removed.
     removed_at: BTreeMap<TargetId, Micros>,
-    /// The same in the order of time.
+    /// The same, ordered by time.
     removed: BTreeSet<(Micros, TargetId)>,
     /// Endpoints that were forgotten after their removal: a list of a lower version, which may still name
     /// them, does not bring them back.
--- a/src/queueing.rs
+++ b/src/queueing.rs
@@ -1,5 +1,5 @@
-//! Queues of messages: those ready to be sent by destination, those of an order key in sequence, and the
-//! timers of those that wait.
+//! Queues of messages: by destination those that are ready to be sent, and by order key all of its messages
+//! in the order of their arrival. Also the timers of messages that wait.
 
 use crate::interface::*;
 use crate::policy::DeliveryPolicy;
--- a/src/response_time_histogram.rs
+++ b/src/response_time_histogram.rs
@@ -6,7 +6,7 @@
 pub(crate) const BUCKETS: usize = 32;
 /// Width of a bucket before anything is recorded, in microseconds.
 const INITIAL_WIDTH_MICROS: f64 = 1000.0;
-/// Weight in responses up to which what was recorded counts as faded.
+/// Decayed number of responses, or of messages, up to which they count as faded.
 pub(crate) const FADED_WEIGHT: f64 = 0.05;
 /// Share of the responses in the upper half of the buckets below which the buckets become narrower.
 const EMPTY_UPPER_HALF_SHARE: f64 = 0.02;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of a deployment as they stand in JSON, and their conversion to [`Settings`]. Unknown keys are
-//! ignored.
+//! Reads the settings of a deployment from JSON and converts them to [`Settings`]. Unknown keys are ignored.
 
 use crate::{
     Class, DeduplicationScope, DestinationContract, ListedRate, Micros, RetrySafety, Settings, WorthDecay,
 };
 use serde::Deserialize;
 
+/// The JSON document. Its keys are the names of the fields of this type and of the sections.
 #[derive(Deserialize)]
 struct SettingsDocument {
     balancers: u32,
@@ -95,7 +95,7 @@
     fields: Vec<String>,
 }
 
-/// The settings of a forwarder, the names that they define, and the positions of the two values of a limit
+/// The settings of a deployment, the names that they define, and the positions of the two values of a limit
 /// report.
 #[derive(Debug, Deserialize)]
 #[serde(from = "SettingsDocument")]
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,7 +15,7 @@
     /// Only single half-open probes are sent: the next one not before `next_probe_at`, and then spaced by a
     /// backoff in microseconds.
     Open { next_probe_at: Micros, backoff: f64 },
-    /// The load rises gradually since the first response after an outage.
+    /// The destination responds again after an outage: the load rises gradually.
     SlowStart { since: Micros },
 }
 
@@ -56,7 +56,7 @@
     pub response_times: ResponseTimes,
     /// Retries after a timeout that may still be planned.
     pub retry_budget: f64,
-    /// Calls that may be in flight.
+    /// Maximum number of calls in flight.
     pub window: f64,
     pub window_halved_at: Micros,
     /// Calls in flight, by number.
@@ -149,7 +149,7 @@
     /// How many more connections are to be closed after use.
     pub close_after_use: u32,
     pub last_result_at: Micros,
-    /// How long connections have been idle in sum since one was opened.
+    /// Total idle time of its connections since one was opened.
     pub total_idle: Micros,
     /// When an operator enabled it again: its process may have been restarted and be cold.
     pub cold_since: Option<Micros>,
