--- a/src/interface.rs
+++ b/src/interface.rs
@@ -193,8 +193,8 @@
     }
 }
 
-/// State of an endpoint in the list, independent of its health. An endpoint that leaves the list passes
-/// through the states in this order.
+/// State of an endpoint in the list, independent of its health. The order of the states is that in which an
+/// endpoint leaves the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub enum EndpointState {
     /// Accepts calls.
--- a/src/policy/disabled_endpoints.rs
+++ b/src/policy/disabled_endpoints.rs
@@ -8,7 +8,7 @@
     /// may be another process by then.
     pub(crate) fn set_disabled(&mut self, target: TargetId, disabled: bool) {
         if !disabled && self.disabled.remove(&target) {
-            // Its process may have been restarted meanwhile. That is recorded even if no message is held for
+            // Its process may have been restarted meanwhile. This is recorded even if no message is held for
             // it.
             self.activate_destination_of(target);
             self.targets
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -3,9 +3,10 @@
 use super::*;
 
 impl DeliveryPolicy {
-    /// Applies an update of the list. A full list removes the endpoints that it lacks; a cached one is only a
-    /// start. One of a lower version is late, or comes from another discovery service that counts anew:
-    /// endpoints that it drains or lacks get no calls, but it brings none back.
+    /// Applies an update of the list. A full list removes the endpoints that it lacks; a cached one, which
+    /// may be outdated, does not. An update with a lower version than the current one is late, or comes from
+    /// another discovery service with version numbers of its own: endpoints that it drains or lacks get no
+    /// calls, but it does not bring drained or removed endpoints back.
     pub(super) fn apply_list(&mut self, kind: ListKind, version: u32, entries: Vec<Endpoint>) {
         if (kind == ListKind::Cached && self.settings.subscribe_to_discovery) || kind == ListKind::Failed {
             self.actions.push(Action::Subscribe { on: true });
--- a/src/policy/idleness.rs
+++ b/src/policy/idleness.rs
@@ -9,8 +9,8 @@
 
 impl DeliveryPolicy {
     /// Whether the state of a destination may be dropped: it holds no message and has no state that must be
-    /// kept. The next message creates its state anew, as at the listing. Disabled and draining endpoints are
-    /// recorded in `disabled` and in the listing, and are not affected.
+    /// kept. The next message creates the state again, as it was when the endpoints were first listed.
+    /// Disabled and draining endpoints are recorded in `disabled` and in the listing, and are not affected.
     pub(crate) fn is_idle(&self, destination: &Destination) -> bool {
         destination.held == 0
             && destination.routes.iter().all(|route_index| !self.must_keep_route(*route_index))
@@ -19,8 +19,8 @@
     /// Whether the state of a route must be kept, because of its own state or that of its endpoints.
     fn must_keep_route(&self, route_index: usize) -> bool {
         let route = &self.routes[route_index];
-        // Calls in flight end here, and a wait that the destination asked for also binds endpoints listed
-        // later.
+        // The results of calls in flight are applied to this state, and a wait that the destination asked for
+        // also holds for endpoints listed later.
         let is_bound = !route.calls.is_empty() || route.paused_until > self.now;
         // A route without endpoints is out of the list: its other state describes endpoints that were
         // removed.
@@ -67,9 +67,9 @@
         contract.drain_grace.max(contract.ramp_time).max(self.settings.longest_deadline() as Micros)
     }
 
-    /// Whether an endpoint that was removed that long ago may be forgotten: it has no call in flight, and its
-    /// destination has asked for no wait that still binds its route. Its number is kept: a list of a lower
-    /// version does not bring it back.
+    /// Whether an endpoint may be forgotten whose retention after its removal has passed: it has no call in
+    /// flight, and its destination has asked for no wait that still holds. Its number is kept: a list of a
+    /// lower version does not bring it back.
     pub(crate) fn may_forget(&self, id: TargetId) -> bool {
         let Some(route) = self.targets.get(&id).map(|endpoint| &self.routes[endpoint.route]) else {
             return true;
@@ -78,8 +78,8 @@
     }
 }
 
-/// Whether the response times or the request rate of a route still have weight. They decay by half with each
-/// longest deadline: after one response this takes five of these spans, after fifty responses ten.
+/// Whether the response times or the request rate of a route still have weight. They halve with each span of
+/// the longest deadline: one response has faded after five of these spans, fifty responses after ten.
 fn has_learned(route: &Route) -> bool {
     !route.response_times.has_faded() || route.recent_requests > FADED_WEIGHT
 }
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -1,4 +1,4 @@
-//! Messages: accepted, restored and ended.
+//! Accepts, restores and gives up messages, and decides what is allowed next for a message.
 
 use super::*;
 
@@ -41,9 +41,10 @@
         }
     }
 
-    /// Gives up the message of least worth in the longest queue when there is little room left for new
-    /// messages, so that a backlog for one destination, whatever its cause, does not keep out the messages
-    /// for all others. The cost: it also hits a backlog that was about to be sent.
+    /// When there is little room left for new messages, gives up a message for the destination with the most
+    /// queued messages: of the oldest message of each queue, the one of least worth. So a backlog for one
+    /// destination, whatever its cause, does not keep out the messages for all others. The cost: it also hits
+    /// a backlog that was about to be sent.
     pub(super) fn make_room(&mut self) {
         let room = (f64::from(self.settings.max_held) * FREE_MESSAGE_SHARE).ceil() as usize + 1;
         if self.messages.len() + room <= self.settings.max_held as usize {
@@ -78,8 +79,8 @@
     }
 
     /// What is allowed next for a message by its class and the outcomes of its attempts: whether it may be
-    /// sent, the zone (plus one, 0 for any) to which it is bound, and whether it may be refused. This is the
-    /// only place that decides it.
+    /// sent, the zone (plus one, 0 for any) to which it is bound, and whether it may be refused. No other
+    /// code decides this.
     pub(crate) fn allowed(&self, message: &Message) -> (bool, u32, bool) {
         let class = &self.settings.classes[message.class];
         let in_flight = message.attempts.iter().any(|attempt| attempt.outcome.is_none());
@@ -110,8 +111,8 @@
                 .is_none_or(|(at, _)| self.now + self.settings.tick < at + class.deduplication_window)
     }
 
-    /// Ends a message that is not or no longer in flight: refused if a new try by the client is harmless and
-    /// the message has not expired, otherwise failed.
+    /// Ends a message that is not in flight: refuses it if the client may safely submit it again and it has
+    /// not expired, otherwise fails it.
     pub(super) fn give_up(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id).filter(|message| !message.ended) else { return };
         let refuse = self.allowed(message).2 && message.expires > self.now;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,8 +2,9 @@
 //! settings, events and actions.
 //!
 //! For each route, a histogram of response times and a count of calls without a response give the retry
-//! timeout τ of least expected completion time (see [`ResponseTimes`]). The calls of a route are bounded by a
-//! window of calls in flight, by a circuit breaker and, where the destination has a limit, by a rate limit.
+//! timeout τ with the least expected completion time (see [`ResponseTimes`]). The calls of a route are
+//! bounded by a window of calls in flight, by a circuit breaker and, where the destination has a limit, by a
+//! rate limit.
 
 use crate::destinations::{Destination, Destinations};
 use crate::interface::*;
@@ -29,7 +30,7 @@
 pub use state_transfer::FORMAT;
 pub(crate) use timeouts::ResponseTimes;
 
-/// Responses of a route before its retry timeout τ is chosen.
+/// Responses that a route needs before its retry timeout τ is chosen.
 const MIN_RESPONSES_FOR_TAU: u32 = 20;
 /// Calls in a row that time out at τ before it doubles.
 const TIMEOUTS_TO_DOUBLE_TAU: u32 = 3;
@@ -57,34 +58,37 @@
 const MAX_RATE_LIMIT_RAISE: f64 = 0.08;
 /// Share by which each round of maintenance raises the rate limit where the destination's limit is not known.
 const RATE_LIMIT_DRIFT: f64 = 0.005;
-/// Share of what a rate limit lacks of the replica's equal share of a known limit that each served call
-/// restores.
+/// Share of the gap between a rate limit and the replica's equal share of a known limit that each served call
+/// closes.
 const RATE_LIMIT_RECOVERY: f64 = 0.1;
-/// Share of its equal share of a known limit that rejections leave a replica. When all replicas are at this
-/// floor, they stay within the limit.
+/// Rejections do not cut a rate limit below a floor, which is at most this share of the replica's equal share
+/// of a known limit. When all replicas are at the floor, they stay within the limit.
 const RATE_LIMIT_FLOOR: f64 = 0.5;
 /// Factor by which the rate of served calls decays in each round of maintenance.
 const SERVED_RATE_DECAY: f64 = 0.95;
 /// Span that the rate of served calls averages over.
 const SERVED_RATE_SPAN_SECONDS: f64 =
     MAINTENANCE_INTERVAL_MICROS as f64 / MICROS_PER_SECOND / (1.0 - SERVED_RATE_DECAY);
-/// Share of the remaining time of a restored message by which the rate limit has a token for its call; the
-/// rest of the time is left for the call.
+/// Share of the remaining time of a restored message within which the rate limit has a token for its call;
+/// the rest of the time is left for the call itself.
 const RESTORED_CALL_WITHIN_SHARE: f64 = 0.75;
-/// Share of the delivery ratio of all classes that each class gets before worth decides.
+/// A class takes precedence over classes of greater worth while its delivery ratio is below this share of
+/// that of all classes together.
 const MIN_CLASS_DELIVERY_SHARE: f64 = 0.6;
 /// Share of the room for held messages that is kept free.
 const FREE_MESSAGE_SHARE: f64 = 0.05;
-/// Time that calls have waited in sum for a response, in mean response times, from which silence is unlikely
-/// to be chance.
+/// Total time that the calls of a route have waited for a response, in mean response times, above which its
+/// silence is unlikely to be chance.
 const SILENCE_MEAN_RESPONSE_TIMES: f64 = 12.0;
-/// Calls of all replicas within the overload duration of the contract that do a cold destination no harm.
+/// Calls that all replicas together may send to a cold destination within the overload duration of the
+/// contract without harm.
 const SAFE_CALLS_IN_OVERLOAD_DURATION: f64 = 2.0;
-/// Least capacity of a destination.
+/// Lowest capacity that a destination is assumed to have.
 const MIN_CAPACITY_CALLS_PER_SECOND: f64 = 2.5;
-/// Interval between two probes as a multiple of the incident's age, for four replicas and, at most, for a
-/// large fleet. Many replicas notice an incident one after the other and probe in step with its age, which
-/// adds up to four times the probes of one span.
+/// Upper bound of the interval between two probes, as a multiple of the incident's age, for up to four
+/// replicas. In a larger fleet it grows with the number of replicas, up to
+/// `MAX_PROBE_INTERVAL_INCIDENT_AGES`: many replicas notice an incident one after the other and probe in step
+/// with its age, which adds up to four times the probes of one span.
 const PROBE_INTERVAL_INCIDENT_AGES: f64 = 3.0;
 const MAX_PROBE_INTERVAL_INCIDENT_AGES: f64 = 8.5;
 /// Factor on the spread of the pauses after rejections when the call after a pause is served.
@@ -99,7 +103,7 @@
 /// Connections that any endpoint is assumed to accept: idle ones do no harm while each replica keeps to its
 /// equal share of them.
 const MIN_ENDPOINT_CONNECTIONS: f64 = 16.0;
-/// Share of the load that would overload a cold destination that all replicas together may send.
+/// Share of the load that would overload a cold destination, up to which all replicas together may send.
 const RAMP_SAFETY_SHARE: f64 = 0.6;
 
 /// The delivery policy of one forwarder.
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,5 +1,5 @@
-//! Conclusions from the outcomes of attempts and calls: failure shares, windows, rate limits and circuit
-//! breakers.
+//! Updates of messages, routes and endpoints when attempts and calls end: failure shares, windows, rate
+//! limits, pauses and circuit breakers.
 
 use super::rates::exceeds_request_rate;
 use super::*;
@@ -30,12 +30,12 @@
             let route = &mut self.routes[route_index];
             self.destinations.unblock(route.destination);
             if result.retry_after > 0 {
-                // A wait that the destination asked for binds the route whatever comes later, and is never
-                // shortened.
+                // A wait that the destination asked for holds whatever the outcomes of later calls, and is
+                // never shortened.
                 route.paused_until = route.paused_until.max(self.now + result.retry_after);
             }
-            // All messages of a call end alike: with the last of them the call's result is applied and its
-            // slot freed.
+            // All messages of a call end with the same outcome. When the last of them ends, the result of the
+            // call is applied and its slot is freed.
             if let Some(Call { sent_at, half_open, .. }) = route.remove_message(call, id) {
                 result.sent_at = sent_at;
                 self.calls_in_flight -= 1;
@@ -158,8 +158,8 @@
                 route.incident_since.get_or_insert(self.now);
                 if route.halve_window(sent_at, self.now) {
                     // The rate limit is not cut below the rate that is certainly being served, since there is
-                    // room for that much. A single response says little, and the rates to which all replicas
-                    // fall back stay within a known limit.
+                    // room for that much. A single response is little evidence of a rate above the equal
+                    // share. The rates to which all replicas fall back stay within a known limit.
                     let equal_share = route.equal_share(self.settings.replicas);
                     let cut_rate = if route.rate_limit > 0.0 {
                         route.rate_limit * RATE_LIMIT_CUT
@@ -174,8 +174,8 @@
                         route.served_rate.min(equal_share) + excess * responses / (responses + 1.0);
                     route.rate_limit =
                         cut_rate.max(min_rate.min(RATE_LIMIT_FLOOR * equal_share)).max(certain_rate);
-                    // Saved tokens are dropped, and replicas that were rejected together do not come back
-                    // together.
+                    // Drops saved tokens and delays the next call at random, so that replicas that were
+                    // rejected together do not come back together.
                     route.tokens = if route.known_limit > 0.0 {
                         route.tokens.min(0.0) + jitter - 1.5
                     } else {
@@ -184,7 +184,9 @@
                 }
                 let rejections = f64::from(route.consecutive_rejections.min(6));
                 let pause = (route.response_times.mean() * jitter * rejections).min(half_aim);
-                // No longer than a message lives: the limit may be back long before the turn of each replica.
+                // The extra pause is bounded by the longest deadline, since no message lives longer. The safe
+                // interval grows with the number of replicas, and the destination may accept calls again long
+                // before each replica has had its turn.
                 let extra_pause = (jitter - 1.0)
                     * probe_interval.max(pause_spread * rejections).min(safe_interval).min(longest_deadline)
                     - half_aim;
@@ -222,15 +224,16 @@
             }
             _ => {}
         }
-        // A destination that was down failed connections for that reason, not because its connection tables
-        // were full. It is cold, and a handshake for each call would cost it more than the calls do.
+        // Connections to a destination that was down failed for that reason, not because its connection
+        // tables were full. It is cold now, and a handshake for each call would cost it more than the calls
+        // do.
         let has_recovered = previous_breaker.is_open() && !self.routes[route_index].breaker.is_open();
         for id in self.routes[route_index].targets.iter().filter(|_| has_recovered) {
             self.targets.entry(*id).and_modify(|endpoint| endpoint.table_full_until = 0);
         }
-        // Idle connections fill the table of an endpoint that accepts few, or are dropped without notice.
-        // They are closed after use if a connection failed, or if this replica calls rarely. The cost: one
-        // handshake, if the next call was near.
+        // Idle connections fill the table of an endpoint that accepts few of them, or are dropped without
+        // notice. They are closed after use if a connection has failed, or if this replica calls rarely. The
+        // cost: one more handshake if the next call follows soon.
         let route = &self.routes[route_index];
         let calls_rarely = (route.recent_requests - 1.0) * self.settings.connection_idle_timeout as f64
             / MICROS_PER_SECOND
@@ -247,8 +250,8 @@
                 outcome != Outcome::ConnectFailed && !route.calls.values().any(|call| call.target == target);
             let is_table_full = endpoint.table_full_until > self.now || endpoint.close_after_use > 0;
             // A connection that is always used again shortly before the idle timeout would keep its place in
-            // the table for good, though it is mostly idle, and would never notice that others find none: its
-            // idle times add up.
+            // the table for good, though it is mostly idle, and this replica would never notice that others
+            // find no place. So idle times are added up.
             let connection_share = (MIN_ENDPOINT_CONNECTIONS / replicas).max(1.0);
             let was_mostly_idle =
                 endpoint.total_idle as f64 > connection_share * self.settings.connection_idle_timeout as f64;
@@ -265,10 +268,11 @@
             .then(|| self.log(format!("destination of endpoint {target} responds again: slow start")));
     }
 
-    /// Handles a connection rejected by an endpoint that has as many as it accepts, which says nothing of its
-    /// health or its limit. The next one is tried after a growing pause, and for long after that each is
-    /// closed after use: kept ones would fill the table again while idle. This protects the many replicas
-    /// that share the endpoint, at the cost of a handshake for each call.
+    /// Handles a connection that an endpoint rejected because it has as many as it accepts, which says
+    /// nothing about its health or its limit. The next connection is tried after a pause that grows with each
+    /// rejection. The next `CLOSE_AFTER_USE_COUNT` connections are closed after use, since idle ones would
+    /// fill the table again. This protects the many replicas that share the endpoint, at the cost of a
+    /// handshake for each call.
     pub(super) fn connection_rejected(
         &mut self, route_index: usize, target: TargetId, half_open: bool, sent_at: Micros,
     ) {
--- a/src/policy/rates.rs
+++ b/src/policy/rates.rs
@@ -17,12 +17,13 @@
     }
 
     /// Least interval between attempts at a route with an incident, in microseconds. It protects destinations
-    /// that are down, closed or cold from many replicas that each try rarely: as in the slow start, each
-    /// replica keeps to its part of the load that would overload the destination, either its equal share or a
-    /// multiple of the incident's age, in which each message brought at most one replica to try.
+    /// that are down, closed or cold from many replicas that each try rarely. As in the slow start, each
+    /// replica keeps to its part of the load that would overload the destination. The interval is at most the
+    /// one at which the calls of all replicas do no harm, and at most a multiple of the incident's age: since
+    /// the incident began, each message has made at most one replica try.
     pub(super) fn probe_interval(&self, route_index: usize, at: Micros) -> f64 {
-        // In a small fleet the replica's own request rate tells its part best, in a large one the equal share
-        // does.
+        // In a small fleet the replica's own request rate is the best measure of its part, in a large one the
+        // equal share is.
         let replicas = f64::from(self.settings.replicas.max(2));
         let equal_share = self.routes[route_index].known_limit / replicas * (1.0 - 2.0 / replicas);
         let contract = &self.settings.contract;
@@ -37,8 +38,8 @@
     }
 
     /// Calls a second that this replica may send to a destination that has been recovering from cold since
-    /// then: its part of a safe share of the load that would overload the destination, which rises over the
-    /// ramp. The cost: a destination that was not cold is under-used.
+    /// `since`: its part of a safe share of the load that would overload the destination. That load rises
+    /// over the ramp. The cost: a destination that was not cold is under-used.
     pub(crate) fn cold_rate(&self, route_index: usize, since: Micros) -> f64 {
         let contract = &self.settings.contract;
         let ramped = ((self.now - since) as f64 / contract.ramp_time.max(1) as f64).min(1.0);
@@ -125,8 +126,8 @@
         due
     }
 
-    /// Takes back a call that was not sent, for example because its message had ended: it returns its token,
-    /// and counts as no half-open probe.
+    /// Takes back a call that was not sent, for example because its message had ended: its token is returned,
+    /// and it does not count as a half-open probe.
     pub(super) fn take_back_call(&mut self, half_open: bool, next_call_at: Micros) {
         self.tokens += 1.0;
         if let (true, CircuitBreaker::Open { next_probe_at, backoff }) = (half_open, self.breaker) {
@@ -137,9 +138,9 @@
         }
     }
 
-    /// Depth of the token bucket: calls that may be sent at once after a pause. With a known limit it is as
-    /// many as random arrivals may bring within an aim, given in seconds: in a large fleet the share of each
-    /// replica is less than one call, and most of its calls come alone.
+    /// Depth of the token bucket: calls that may be sent at once after a pause. With a known limit it covers
+    /// the calls that random arrivals may bring within an aim: in a large fleet the share of each replica is
+    /// less than one call, and most of its calls come alone.
     pub(super) fn bucket_depth(&self, aim: f64) -> f64 {
         if self.known_limit > 0.0 {
             1.0 + 2.0 * (self.rate_limit * aim).sqrt()
@@ -150,7 +151,7 @@
 
     /// Sets the known limit. The first one starts the rate limit at the replica's equal share, however small:
     /// where all replicas start at once, as after a restart with restored messages, one call of each is more
-    /// than many a destination's limit.
+    /// than the limits of many destinations.
     pub(crate) fn set_known_limit(&mut self, rate: f64, replicas: u32) {
         if self.known_limit <= 0.0 {
             self.rate_limit = rate / f64::from(replicas.max(1));
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -10,8 +10,8 @@
     /// The message that a queue sends next, with its worth: the oldest one that can still be delivered within
     /// its aim, or the newest one if none can. If the oldest always went first, a backlog would pass its
     /// delay on to all later messages that would be in time by themselves. Messages restored unsent after a
-    /// restart go before all others of their class, first the one that expires first: each is to be tried,
-    /// and has lost the time of the restart. The cost: newer messages wait for as many calls as messages were
+    /// restart go before all others of their class, the oldest first: each of them is to be tried, and has
+    /// lost the time that the restart took. The cost: newer messages wait for as many calls as messages were
     /// restored.
     pub(super) fn next_in_queue(
         &self, (class, _, restored_unsent): QueueKey, messages: &BTreeSet<(Micros, MessageId)>,
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl DeliveryPolicy {
-    /// Whether a call may still be written whose connection took time to open: meanwhile its endpoint may
+    /// Whether a call may still be sent once its connection has been opened: in the meantime its endpoint may
     /// have been drained or disabled, its destination may have asked for a wait, its message may have ended,
     /// or the deduplication window for a retry may be over.
     pub fn may_still_send(&mut self, now: Micros, id: MessageId, target: TargetId) -> bool {
@@ -17,7 +17,8 @@
         is_ready && is_timely && !self.disabled.contains(&target)
     }
 
-    /// Sends a message, as part of the given call if there is one, otherwise in a new call. Returns the call.
+    /// Sends a message, as part of the given call if there is one, otherwise in a new call. Returns the
+    /// number of the call.
     pub(super) fn send(
         &mut self, id: MessageId, route_index: usize, target: TargetId, half_open: bool, call: Option<u64>,
     ) -> u64 {
@@ -109,9 +110,10 @@
         }
     }
 
-    /// Cancels calls that are overdue, for whatever reason, to free their slots: one silent endpoint must not
-    /// hold up the others. Where the destination is down, calls with repeatable messages only are cancelled at
-    /// once; others a few at a time, while messages wait for a slot. The cost: very late responses are lost.
+    /// Cancels overdue calls, whatever the cause, to free their slots: one silent endpoint must not hold up
+    /// the others. Where the destination is down, calls that carry only repeatable messages are cancelled at
+    /// once; others are cancelled a few at a time, while messages wait for a slot. The cost: very late
+    /// responses are lost.
     pub(super) fn cancel_overdue_calls(&mut self, with_calls: &[usize]) {
         let mut allowance = if self.out_of_slots { self.settings.slots.div_ceil(16) } else { 0 };
         for &route_index in if self.settings.may_cancel { with_calls } else { &[] } {
--- a/src/policy/state_transfer.rs
+++ b/src/policy/state_transfer.rs
@@ -3,7 +3,7 @@
 use super::DeliveryPolicy;
 use crate::interface::Settings;
 
-/// Version of the transferred state. To be raised whenever the layout or the meaning of the state changes.
+/// Version of the transferred state. Must be raised whenever the layout or the meaning of the state changes.
 pub const FORMAT: u32 = 6;
 
 impl DeliveryPolicy {
@@ -15,8 +15,8 @@
         postcard::to_stdvec(self)
     }
 
-    /// Continues from the state of another process. Its times are times of that process's clock, which has to
-    /// continue.
+    /// Continues from the state of another process. The state contains times of that process's clock, which
+    /// this process must continue.
     pub fn import_state(bytes: &[u8], settings: Settings) -> Result<DeliveryPolicy, postcard::Error> {
         let mut policy: DeliveryPolicy = postcard::from_bytes(bytes)?;
         // The settings may have other classes than those of the previous process.
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -1,4 +1,5 @@
-//! Response times of a route, and the retry timeout that is chosen from them.
+//! Response times of a route, and the retry timeout that is chosen from them. The choice follows the paper
+//! "Optimization of Failure Detection Retry Times" by A. van Moorsel and K. Wolter, called "the paper" below.
 
 use super::*;
 
@@ -47,10 +48,10 @@
         self.histogram.longest()
     }
 
-    /// Sets τ to the bucket edge of least expected completion time Ê, then raises it while condition (6) of
-    /// the paper on restarts holds, and returns its Ê. `retry_cost` is the paper's c. The mean of the
-    /// responses up to τ is the paper's M/p already: divided by p again, it would not reproduce the tables of
-    /// the paper.
+    /// Sets τ to the bucket edge with the least expected completion time Ê, then raises it while condition
+    /// (6) of the paper holds, and returns Ê of the final bucket. `retry_cost` is the paper's c. The mean of
+    /// the responses up to τ already is the paper's M/p: divided by p again, it would not reproduce the
+    /// paper's tables.
     pub(super) fn update_retry_timeout(&mut self, retry_cost: f64) -> Option<f64> {
         let histogram = &self.histogram;
         let (total, width) = (histogram.total() + self.unanswered, histogram.width());
@@ -83,8 +84,8 @@
     }
 
     /// Records a call without a response. A run of calls that time out at τ doubles τ, since condition (6)
-    /// sees no density past τ when the destination becomes slower; the least Ê lowers it again. The cost:
-    /// where most calls are dropped, retries come late.
+    /// finds no density past τ when the destination becomes slower. After the next response, τ is set by the
+    /// least Ê again. The cost: where most calls are dropped, retries come late.
     pub(super) fn record_no_response(&mut self, retry_planned: bool) {
         self.unanswered += 1.0;
         self.consecutive_timeouts += u32::from(retry_planned);
--- a/src/policy/timeouts_tests.rs
+++ b/src/policy/timeouts_tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the retry timeout against the figures of the paper on restarts, and when a destination becomes
-//! slower.
+//! Tests of the choice of the retry timeout: against the figures of the paper that `timeouts.rs` names, and
+//! when a destination becomes slower.
 
 use super::ResponseTimes;
 
