--- a/src/policy/disabled_endpoints.rs
+++ b/src/policy/disabled_endpoints.rs
@@ -34,8 +34,8 @@
         };
         let route = &self.routes[endpoint.route];
         let rate = self.cold_rate(endpoint.route, since) / route.targets.len().max(1) as f64;
-        let has_paused =
+        let interval_has_passed =
             self.now.saturating_sub(endpoint.last_used_at.max(since)) as f64 * rate >= MICROS_PER_SECOND;
-        has_paused && route.calls.values().all(|call| call.target != id)
+        interval_has_passed && route.calls.values().all(|call| call.target != id)
     }
 }
--- a/src/policy/idleness.rs
+++ b/src/policy/idleness.rs
@@ -25,7 +25,7 @@
         // A route without endpoints is out of the list: its other state describes endpoints that were
         // removed.
         is_bound
-            || !route.targets.is_empty() && (self.is_degraded(route_index) || has_learned(route))
+            || !route.targets.is_empty() && (self.is_degraded(route_index) || has_recent_statistics(route))
             || route.targets.iter().any(|id| self.must_keep_endpoint(&self.targets[id]))
     }
 
@@ -80,6 +80,6 @@
 
 /// Whether the response times or the request rate of a route still have weight. They halve with each span of
 /// the longest deadline: one response has faded after five of these spans, fifty responses after ten.
-fn has_learned(route: &Route) -> bool {
+fn has_recent_statistics(route: &Route) -> bool {
     !route.response_times.has_faded() || route.recent_requests > FADED_WEIGHT
 }
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -50,16 +50,16 @@
         if self.messages.len() + room <= self.settings.max_held as usize {
             return;
         }
-        let longest = self
+        let largest_backlog = self
             .destinations
             .ready()
             .map(|(_, destination)| destination)
             .max_by_key(|destination| destination.queued_without_restored());
-        let new = longest
+        let without_restored = largest_backlog
             .into_iter()
             .flat_map(|destination| &destination.queues)
             .filter(|((.., restored_unsent), _)| !restored_unsent);
-        let oldest = new.filter_map(|((class, ..), messages)| {
+        let oldest = without_restored.filter_map(|((class, ..), messages)| {
             let (created_at, id) = messages.first()?;
             Some((self.settings.worth_at_age(*class, self.now.saturating_sub(*created_at) as f64), *id))
         });
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -161,8 +161,8 @@
     /// The policy of a replica that has just started.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Self {
         let (next_maintenance_at, timer_at) = (now + MAINTENANCE_INTERVAL_MICROS, Micros::MAX);
-        let (random, none) = (Random::new(seed), vec![0.0; settings.classes.len()]);
-        let (arrived, delivered) = (none.clone(), none);
+        let (random, zeros) = (Random::new(seed), vec![0.0; settings.classes.len()]);
+        let (arrived, delivered) = (zeros.clone(), zeros);
         let new = DeliveryPolicy { settings, random, now, arrived, delivered, ..DeliveryPolicy::default() };
         let new = DeliveryPolicy { next_maintenance_at, timer_at, ..new };
         DeliveryPolicy { pause_spread: new.safe_call_interval().min(new.settings.shortest_aim()), ..new }
@@ -248,8 +248,8 @@
             .collect();
         while self.calls_in_flight < self.settings.slots {
             let top = (0..best.len()).max_by(|a, b| best[*a].1 .0.total_cmp(&best[*b].1 .0));
-            let Some(i) = top else { break };
-            let (destination, (_, id, route_index, target, half_open)) = best[i];
+            let Some(best_index) = top else { break };
+            let (destination, (_, id, route_index, target, half_open)) = best[best_index];
             let message = &self.messages[&id];
             let time_left = message.expires.saturating_sub(self.now) as f64;
             // The deduplication window of a keyed message may have ended while the message was held.
@@ -260,29 +260,30 @@
                 (!half_open).then(|| self.fill_batch(destination, route_index, target, call));
             }
             match self.best_send(destination) {
-                Some(next) => best[i].1 = next,
-                None => drop(best.swap_remove(i)),
+                Some(next) => best[best_index].1 = next,
+                None => drop(best.swap_remove(best_index)),
             }
         }
         self.out_of_slots = !best.is_empty();
         // Messages that are due but still in flight wait for the end of their calls, or for their own timers.
-        let ahead = self
+        let next_not_due = self
             .message_timers
             .range((carried_out_at + 1, 0)..)
             .next()
             .map(|timer| timer.0 - self.processing_lag);
-        let next = self
+        let next_message_timer = self
             .message_timers
             .first()
             .map(|timer| timer.0)
             .into_iter()
-            .chain(ahead)
+            .chain(next_not_due)
             .min()
             .unwrap_or(Micros::MAX);
-        let at = self.next_maintenance_at.min(self.wake_at).min(next);
-        if at < self.timer_at {
-            self.timer_at = at;
-            self.actions.push(Action::Timer { after: at.saturating_sub(self.now).max(1), token: 0 });
+        let next_decision_at = self.next_maintenance_at.min(self.wake_at).min(next_message_timer);
+        if next_decision_at < self.timer_at {
+            self.timer_at = next_decision_at;
+            self.actions
+                .push(Action::Timer { after: next_decision_at.saturating_sub(self.now).max(1), token: 0 });
         }
         actions.append(&mut self.actions);
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -118,9 +118,9 @@
                 if route.known_limit > 0.0 {
                     // In a large fleet a replica gets few responses: raised in proportion to itself alone,
                     // its rate limit would need a minute to recover.
-                    let lack = (route.equal_share(self.settings.replicas) - route.rate_limit).max(0.0);
+                    let shortfall = (route.equal_share(self.settings.replicas) - route.rate_limit).max(0.0);
                     route.rate_limit = (route.rate_limit
-                        + if route.rate_limit > 0.0 { RATE_LIMIT_RECOVERY * lack } else { 0.0 })
+                        + if route.rate_limit > 0.0 { RATE_LIMIT_RECOVERY * shortfall } else { 0.0 })
                     .min(route.known_limit);
                 } else if exceeds_request_rate(route.rate_limit, request_rate) {
                     route.rate_limit = 0.0;
--- a/src/policy/rates.rs
+++ b/src/policy/rates.rs
@@ -61,11 +61,11 @@
     /// restored messages have expired. The cost: a destination is overloaded if all replicas have restored
     /// messages for it and its limit is less than one call of each in that time.
     pub(super) fn reserve_call_before(&mut self, route_index: usize, expires: Micros) {
-        let within =
+        let within_seconds =
             RESTORED_CALL_WITHIN_SHARE * self.random.next() * expires.saturating_sub(self.now) as f64
                 / MICROS_PER_SECOND;
         let route = &mut self.routes[route_index];
-        route.tokens = route.tokens.max(1.0 - route.rate_limit * within);
+        route.tokens = route.tokens.max(1.0 - route.rate_limit * within_seconds);
     }
 
     /// Whether a route may take a call now: if so, whether as a half-open probe; if not, when to check again.
@@ -141,9 +141,9 @@
     /// Depth of the token bucket: calls that may be sent at once after a pause. With a known limit it covers
     /// the calls that random arrivals may bring within an aim: in a large fleet the share of each replica is
     /// less than one call, and most of its calls come alone.
-    pub(super) fn bucket_depth(&self, aim: f64) -> f64 {
+    pub(super) fn bucket_depth(&self, aim_seconds: f64) -> f64 {
         if self.known_limit > 0.0 {
-            1.0 + 2.0 * (self.rate_limit * aim).sqrt()
+            1.0 + 2.0 * (self.rate_limit * aim_seconds).sqrt()
         } else {
             (self.rate_limit / 2.0).max(1.0)
         }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -38,10 +38,10 @@
     pub(super) fn best_endpoint(&self, route_index: usize, zone: Option<u32>) -> Option<TargetId> {
         let route = &self.routes[route_index];
         let all = route.targets.iter().map(|id| (id, &self.targets[id]));
-        let open = all.filter(|(id, endpoint)| {
+        let accepting = all.filter(|(id, endpoint)| {
             self.accepts_calls(**id, endpoint) && endpoint.next_connection_at <= self.now
         });
-        let usable = open.filter(|(_, endpoint)| zone.is_none_or(|zone| zone == endpoint.zone));
+        let usable = accepting.filter(|(_, endpoint)| zone.is_none_or(|zone| zone == endpoint.zone));
         let overdue_age = self.overdue_age(route);
         let best = usable.min_by_key(|(id, endpoint)| {
             // An endpoint with an overdue call is silent, even if the others respond.
@@ -69,9 +69,9 @@
         if half_open && route.calls.values().any(is_probing) {
             return true;
         }
-        let fails_recently =
+        let failed_recently =
             route.failure_share > LOSSY_FAILURE_SHARE && self.now < route.last_result_at + aim;
-        (self.now < message.created_at + aim || fails_recently)
+        (self.now < message.created_at + aim || failed_recently)
             && self.others_will_try(destination, route, aim)
     }
 
@@ -111,10 +111,10 @@
             self.destinations.block(destination_id, until);
             return None;
         }
-        let mut open = Vec::new();
+        let mut available = Vec::new();
         for route_index in destination.routes.clone() {
             match self.can_call(route_index, max_calls) {
-                Ok(half_open) => open.push((route_index, half_open)),
+                Ok(half_open) => available.push((route_index, half_open)),
                 Err(at) => self.wake_at = self.wake_at.min(at),
             }
         }
@@ -139,7 +139,7 @@
                 - self.settings.worth_at_age(*class, age + aim as f64);
             let is_unsafe = self.settings.classes[*class].retry_safety == RetrySafety::Unsafe;
             let mut choice: Option<RouteChoice> = None;
-            for (route_index, half_open) in &open {
+            for (route_index, half_open) in &available {
                 let route = &self.routes[*route_index];
                 let is_risky = is_unsafe
                     && route.failure_may_have_run
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -96,8 +96,9 @@
         let zone = self.targets.get(&target).map_or(0, |endpoint| endpoint.zone + 1);
         for _ in 1..batch_size {
             let Some(destination) = self.destinations.get(destination_id) else { return };
-            let open = destination.queues.iter().filter(|((_, bound, _), _)| *bound == 0 || *bound == zone);
-            let next = open.filter_map(|(queue, messages)| self.next_in_queue(*queue, messages));
+            let matching =
+                destination.queues.iter().filter(|((_, bound, _), _)| *bound == 0 || *bound == zone);
+            let next = matching.filter_map(|(queue, messages)| self.next_in_queue(*queue, messages));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
             let (message, route) = (&self.messages[&id], &self.routes[route_index]);
             let is_unsafe = self.settings.classes[message.class].retry_safety == RetrySafety::Unsafe;
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -77,9 +77,9 @@
         while bucket + 1 < BUCKETS && raises(bucket) {
             bucket += 1;
         }
-        let raised =
+        let doubled =
             if self.consecutive_timeouts >= TIMEOUTS_TO_DOUBLE_TAU { self.retry_timeout } else { 0.0 };
-        self.retry_timeout = ((bucket + 1) as f64 * width).max(raised);
+        self.retry_timeout = ((bucket + 1) as f64 * width).max(doubled);
         Some(expected[bucket])
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -118,9 +118,9 @@
     /// The number of a zone. A zone that the settings do not name is valid as well: its number is derived
     /// from its name, so that it is the same in each process, and is greater than those of all named zones.
     pub fn zone_number(&self, name: &str) -> u32 {
-        const UNNAMED_ZONE: u32 = 1 << 30;
+        const UNNAMED_ZONE_BIT: u32 = 1 << 30;
         let named = self.zone_names.iter().position(|zone_name| zone_name == name);
-        named.map_or_else(|| UNNAMED_ZONE | crc32fast::hash(name.as_bytes()) >> 2, |index| index as u32)
+        named.map_or_else(|| UNNAMED_ZONE_BIT | crc32fast::hash(name.as_bytes()) >> 2, |index| index as u32)
     }
 }
 
