--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/hatchline-adapter/host.rs
@@ -1,5 +1,5 @@
-//! Runs one delivery policy for each instance number, and converts between wire records and policy events and
-//! actions.
+//! Runs a delivery policy for each instance, and converts wire records to policy events and policy actions to wire
+//! records.
 
 use crate::wire::{Batch, Entry, Input, Output, Reply, WireError};
 use hatchline::settings::DeploymentSettings;
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
+/// A policy, and the positions of the two values of its limit reports.
 struct Instance {
     policy: DeliveryPolicy,
     share_left_index: Option<usize>,
--- a/src/bin/hatchline-adapter/main.rs
+++ b/src/bin/hatchline-adapter/main.rs
@@ -19,7 +19,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of a policy is reported on the wire; the default panic message still goes to standard error.
+    // A panic of a policy is reported in the reply; the default panic message still goes to standard error.
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/bin/hatchline-adapter/wire.rs
+++ b/src/bin/hatchline-adapter/wire.rs
@@ -406,7 +406,7 @@
     }
 }
 
-/// Writes `body` behind its length in 16 bits. A longer body is truncated to what the length can express.
+/// Writes the length of `body` in 16 bits, then `body`. A body too long for this length is truncated.
 fn put_length_prefixed(buffer: &mut Vec<u8>, body: &[u8]) {
     let body = &body[..body.len().min(usize::from(u16::MAX))];
     buffer.extend((body.len() as u16).to_le_bytes());
--- a/src/bin/hatchline-adapter/wire_tests.rs
+++ b/src/bin/hatchline-adapter/wire_tests.rs
@@ -1,4 +1,4 @@
-//! Decoding and encoding of the example frames, of truncated records and of malformed frames.
+//! Tests of the wire format: example records and replies, truncated records and malformed frames.
 
 use super::*;
 
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -60,8 +60,8 @@
         Client { transport, on_event, options, random }
     }
 
-    /// Follows the list at `address`, starting from `known_version`: a full list costs discovery work for each of its
-    /// entries. Returns when the sender of the address is dropped.
+    /// Follows the list at `address`, starting from `known_version` if there is one, since a full list costs discovery
+    /// work for each of its entries. Returns when the sender of the address is dropped.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>, known_version: Option<u64>) {
         let mut version = known_version;
         let delay = self.options.start_spread();
@@ -75,7 +75,7 @@
                 never = self.follow(current, version.take()) => match never {},
                 changed = address.changed() => if changed.is_err() { return },
             }
-            // The versions of another address may be unrelated to these: the full list is requested there.
+            // The versions at another address may be unrelated to these, so the full list is requested there.
             self.transport.disconnect();
         }
     }
@@ -112,7 +112,7 @@
                 }
                 ExchangeResult::Invalid(event) => {
                     (self.on_event)(event);
-                    // Discovery may not know the version: the full list is requested.
+                    // Discovery may not know the version, so the full list is requested next.
                     version = None;
                     sleep(backoff.next_pause()).await;
                 }
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -1,7 +1,7 @@
 //! Timing of the discovery client: long-poll waits, reply timeouts, and pauses between requests.
 //!
 //! The protocol bounds all of these: a change to the list is binding on a forwarder 6 s later at the latest, whether or
-//! not it has arrived, and 4 s after SIGHUP named another address. A watch lasts while the next request follows within
+//! not it has arrived, and 4 s after SIGHUP named another address. A watch continues if the next request follows within
 //! 200 ms.
 
 use crate::Settings;
@@ -20,8 +20,8 @@
 const ON_REQUEST_REPLY_GRACE: Duration = Duration::from_millis(1500);
 /// Pause after a first failure. It doubles with each further failure.
 pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause after failures where lists are pushed. What the agent receives once discovery is back is binding at
-/// once, and drains must be observed within some hundreds of milliseconds.
+/// Longest pause after failures where lists are pushed. A list that the agent receives once discovery is back is
+/// binding at once, and drains must be observed within some hundreds of milliseconds.
 const PUSHED_MAX_PAUSE: Duration = Duration::from_millis(100);
 /// The same where lists are served on request.
 const ON_REQUEST_MAX_PAUSE: Duration = Duration::from_millis(500);
@@ -30,23 +30,25 @@
 const OVERLOAD_PAUSE_PER_REPLICA: Duration = Duration::from_millis(125);
 /// Upper bound of that mean. Two pauses, or one and a request without a reply, fit into 6 s in a fleet of any size.
 const MAX_MEAN_OVERLOAD_PAUSE: Duration = Duration::from_millis(1850);
-/// The pause after a rejection is random, from this share of its mean to as much above the mean.
+/// The pause after a rejection is random, between this multiple of its mean and this multiple plus one.
 const OVERLOAD_JITTER_MIN_SHARE: f64 = 0.5;
-/// Span per replica over which the replicas of a fleet that starts at once spread their first requests. Discovery
-/// accepts some twenty new watches per second and rejects all that queue behind those. Only where lists are served on
-/// request: a pushed list is binding from when the agent has it, and a watch at the agent costs discovery nothing.
+/// Span over which the replicas of a fleet that start at the same time spread their first requests, per replica.
+/// Discovery accepts some twenty new watches per second and rejects all that queue behind those. Only where lists are
+/// served on request: a pushed list is binding from when the agent has it, and a watch at the agent costs discovery
+/// nothing.
 const START_SPREAD_PER_REPLICA: Duration = Duration::from_millis(50);
 /// Upper bound of that span. It leaves time for a second request if the first is rejected or gets no reply.
 const MAX_START_SPREAD: Duration = Duration::from_millis(2500);
 /// Pause before the next request if discovery replied at once without a change.
 pub(super) const NO_CHANGE_PAUSE: Duration = Duration::from_millis(50);
 
-/// How the endpoint lists of a deployment reach a forwarder.
+/// How the endpoint list of a deployment reaches a forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// An agent on the machine of the forwarder receives each list as soon as it is sent, at no cost to discovery.
+    /// An agent on the machine of the forwarder receives each list as soon as discovery sends it. Requests to the agent
+    /// cost discovery nothing.
     Pushed,
-    /// Discovery itself serves the lists, to those who request them.
+    /// Discovery itself serves lists to forwarders that request them.
     OnRequest,
 }
 
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -42,9 +42,9 @@
     }
 
     /// When there is little room left for new messages, gives up a message for the destination with the most
-    /// queued messages: of the oldest message of each queue, the one of least worth. So a backlog for one
-    /// destination, whatever its cause, does not keep out the messages for all others. The cost: it also hits
-    /// a backlog that was about to be sent.
+    /// queued messages, without counting restored ones: of the oldest message of each queue, the one of least
+    /// worth. So a backlog for one destination, whatever its cause, does not keep out the messages for all
+    /// others. The cost: it also hits a backlog that was about to be sent.
     pub(super) fn make_room(&mut self) {
         let room = (f64::from(self.settings.max_held) * FREE_MESSAGE_SHARE).ceil() as usize + 1;
         if self.messages.len() + room <= self.settings.max_held as usize {
