--- a/src/interface.rs
+++ b/src/interface.rs
@@ -368,7 +368,7 @@
         took: Micros,
         /// The message has ended, with this attempt or before.
         message_ended: bool,
-        /// For [`Outcome::Rejected`]: the wait that the destination asks for, 0 for none.
+        /// For [`Outcome::Rejected`]: the wait that the destination asks for (Retry-After), 0 for none.
         retry_after: Micros,
         /// The destination's report of its limit, if it sent one.
         report: Option<LimitReport>,
@@ -426,7 +426,7 @@
     Refuse {
         /// The message.
         id: MessageId,
-        /// How long the client is told to wait, 0 for no such advice.
+        /// How long the client is told to wait (Retry-After), 0 if it is not told.
         retry_after: Micros,
     },
     /// End the message as failed. It may or may not have been delivered.
