--- a/src/policy/disabled_endpoints.rs
+++ b/src/policy/disabled_endpoints.rs
@@ -8,7 +8,7 @@
     /// may be another process by then.
     pub(crate) fn set_disabled(&mut self, target: TargetId, disabled: bool) {
         if !disabled && self.disabled.remove(&target) {
-            // Its process may have been restarted meanwhile. That is recorded even if no message is held for
+            // Its process may have been restarted meanwhile. This is recorded even if no message is held for
             // it.
             self.activate_destination_of(target);
             self.targets
@@ -34,8 +34,8 @@
         };
         let route = &self.routes[endpoint.route];
         let rate = self.cold_rate(endpoint.route, since) / route.targets.len().max(1) as f64;
-        let has_paused =
+        let interval_has_passed =
             self.now.saturating_sub(endpoint.last_used_at.max(since)) as f64 * rate >= MICROS_PER_SECOND;
-        has_paused && route.calls.values().all(|call| call.target != id)
+        interval_has_passed && route.calls.values().all(|call| call.target != id)
     }
 }
