--- a/src/bin/foldtrack/disabled_endpoints.rs
+++ b/src/bin/foldtrack/disabled_endpoints.rs
@@ -44,7 +44,7 @@
         }
         let text = serde_json::to_vec(&names)?;
         if 2 * text.len().next_multiple_of(512) as u64 > RESERVED_BYTES {
-            return Err(io::Error::other("too many disabled endpoints"));
+            return Err(io::Error::other("too many endpoints are out"));
         }
         let new = self.path.with_extension("new");
         std::fs::write(&new, text)?;
