--- a/src/bin/foldtrack/calls.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -78,7 +78,7 @@
     pub target: TargetId,
     pub address: SocketAddr,
     pub message: Arc<Message>,
-    pub dial_timeout: Duration,
+    pub connect_timeout: Duration,
     pub timeout_at: Instant,
     /// A pooled connection and how long it has been idle. Without one, a new connection is opened.
     pub connection: Option<(Duration, HttpConnection)>,
@@ -93,7 +93,8 @@
 pub(crate) async fn make_call(call: Call, mut cancelled: oneshot::Receiver<()>, events: EventSender) {
     let end = CallEnd::new(call.number, call.attempt, call.target, Outcome::ConnectFailed, false);
     let mut end = CallEnd { generation: call.generation, ..end };
-    let Call { message, connection: idle, timeout_at, dial_timeout, address, reads_limit_reports, .. } = call;
+    let Call { message, connection: idle, timeout_at, connect_timeout, address, reads_limit_reports, .. } =
+        call;
     end.idle_for = idle.as_ref().map(|(idle_for, _)| *idle_for);
     let (reused, written_events) = (idle.is_some(), events.clone());
     // Once the request has been handed to the connection, only a response proves that it did not run.
@@ -105,7 +106,7 @@
             None => {
                 let on_written = move |class| written_events.send(NodeEvent::MessageWritten { class });
                 let Ok(Ok(connection)) =
-                    timeout(dial_timeout, HttpConnection::open(address, on_written)).await
+                    timeout(connect_timeout, HttpConnection::open(address, on_written)).await
                 else {
                     return Err(Outcome::ConnectFailed);
                 };
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -77,8 +77,8 @@
 
 /// Length of the accept queue that can be accepted in time for a response, given the mean turn time.
 /// Connections beyond it cost no processor time, and a longer queue would fill with clients that have given up.
-fn accept_backlog(turn: Duration) -> u32 {
-    let turns = MAX_READ_DELAY.as_secs_f64() / turn.as_secs_f64().max(1e-6);
+fn accept_backlog(mean_turn_time: Duration) -> u32 {
+    let turns = MAX_READ_DELAY.as_secs_f64() / mean_turn_time.as_secs_f64().max(1e-6);
     ((turns * ACCEPTS_PER_TURN as f64) as u32).clamp(1, MAX_ACCEPT_BACKLOG)
 }
 
@@ -87,7 +87,7 @@
     let mut stage = context.stage.clone();
     let mut waiter = AdmissionWaiter::new(&AdmissionLimiter::new(ACCEPTS_PER_TURN));
     let mut backlog = MAX_ACCEPT_BACKLOG;
-    let (mut queue_empty_at, mut draining, mut drained) = (Instant::now(), false, false);
+    let (mut queue_empty_at, mut closing, mut queue_drained) = (Instant::now(), false, false);
     loop {
         let wanted_backlog = accept_backlog(context.overload.mean_turn_time());
         if backlog / 2 >= wanted_backlog
@@ -104,12 +104,12 @@
                 let accepted = listener.poll_accept(cx);
                 was_queued &= accepted.is_ready();
                 match accepted {
-                    Poll::Pending if draining => Poll::Ready(Err(io::ErrorKind::WouldBlock.into())),
+                    Poll::Pending if closing => Poll::Ready(Err(io::ErrorKind::WouldBlock.into())),
                     accepted => accepted,
                 }
             });
             let (stream, _) =
-                accepted.await.inspect_err(|e| drained = e.kind() == io::ErrorKind::WouldBlock).ok()?;
+                accepted.await.inspect_err(|e| queue_drained = e.kind() == io::ErrorKind::WouldBlock).ok()?;
             if !was_queued {
                 queue_empty_at = Instant::now();
             }
@@ -121,7 +121,7 @@
         };
         let accepted = tokio::select! {
             accepted = accept => accepted,
-            _ = stage.wait_for(|s| !s.accepts()), if !draining => {
+            _ = stage.wait_for(|s| !s.accepts()), if !closing => {
                 // A successor accepts from the same queue. Otherwise connections that wait in it would be
                 // reset without a response.
                 if *context.stage.borrow() == LifecycleStage::HandedOver {
@@ -130,7 +130,7 @@
                     }
                     return;
                 }
-                draining = true;
+                closing = true;
                 continue;
             }
         };
@@ -148,7 +148,7 @@
                     }
                 });
             }
-            None if drained => return,
+            None if queue_drained => return,
             None => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
@@ -413,9 +413,12 @@
     permit.mark_active();
     if state.progress().too_late {
         context.events.send(NodeEvent::RefusedLate { class: message.class });
-        let limits = &context.settings.settings;
-        let wait =
-            if limits.may_send_retry_after { limits.max_retry_after.min(OVERLOAD_RETRY_AFTER) } else { 0 };
+        let settings = &context.settings.settings;
+        let wait = if settings.may_send_retry_after {
+            settings.max_retry_after.min(OVERLOAD_RETRY_AFTER)
+        } else {
+            0
+        };
         return Ok(refusal_response(wait.div_ceil(1000)));
     }
     let (reply, response) = oneshot::channel();
--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -42,7 +42,7 @@
 
 /// A frame from the old process to the owner.
 #[derive(Debug, Serialize, Deserialize)]
-enum PredecessorFrame {
+enum OldProcessFrame {
     CallEnded {
         number: u64,
         attempt: u32,
@@ -77,7 +77,7 @@
 pub(crate) type InheritedCall = (u64, u32, TargetId, oneshot::Receiver<()>);
 
 /// The link of the owner to the process that it took over from.
-pub(crate) struct PredecessorLink {
+pub(crate) struct OldProcessLink {
     pub events: EventSender,
     pub settings: Arc<DeploymentSettings>,
     pub calls: Vec<InheritedCall>,
@@ -94,14 +94,14 @@
     Respond { request: u64, response: SubmitResponse },
 }
 
-impl PredecessorLink {
+impl OldProcessLink {
     /// Passes the frames of the old process on to the node until that process has ended. Whatever it leaves
     /// unfinished is then ended here: its calls may have run, and clients may have been told that their messages are
     /// accepted.
     pub async fn run(self, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
-        let PredecessorLink { events, settings, calls, mut responding, reserved_connections, clock } = self;
+        let OldProcessLink { events, settings, calls, mut responding, reserved_connections, clock } = self;
         let (command_sender, mut commands) = mpsc::unbounded_channel();
         let mut open_calls: BTreeMap<(u64, u32), TargetId> = BTreeMap::new();
         for (number, attempt, target, cancelled) in calls {
@@ -116,7 +116,7 @@
         let mut response_guards: BTreeMap<u64, ResponseGuard> = BTreeMap::new();
         let (frames, mut received) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            while let Ok(frame) = read_frame::<PredecessorFrame>(&mut reader).await {
+            while let Ok(frame) = read_frame::<OldProcessFrame>(&mut reader).await {
                 if frames.send(frame).is_err() {
                     return;
                 }
@@ -137,10 +137,10 @@
                             OwnerFrame::Refused { request, retry_in_ms },
                     };
                     // If the old process has ended, its side of the stream is closed too.
-                    let _ = write_to(&mut writer, &frame).await;
+                    let _ = write_frame(&mut writer, &frame).await;
                 }
                 frame = received.recv() => match frame {
-                    Some(PredecessorFrame::CallEnded {
+                    Some(OldProcessFrame::CallEnded {
                         number,
                         attempt,
                         target,
@@ -161,7 +161,7 @@
                             ..CallEnd::new(number, attempt, target, outcome, completes_message)
                         }));
                     }
-                    Some(PredecessorFrame::ResponseEnded { number, written }) =>
+                    Some(OldProcessFrame::ResponseEnded { number, written }) =>
                         match response_guards.remove(&number) {
                             Some(mut guard) => guard.written = written,
                             None => {
@@ -169,7 +169,7 @@
                                 events.send(NodeEvent::ResponseEnded { number, written });
                             }
                         },
-                    Some(PredecessorFrame::Submit { request, accepted }) => {
+                    Some(OldProcessFrame::Submit { request, accepted }) => {
                         let message = Message::from_accepted(accepted, &settings, &clock);
                         let (reply, response) = oneshot::channel();
                         events.send(NodeEvent::Submit { message: Arc::new(message), reply });
@@ -197,7 +197,7 @@
     }
 }
 
-async fn write_to(writer: &mut OwnedWriteHalf, content: &impl Serialize) -> io::Result<()> {
+async fn write_frame(writer: &mut OwnedWriteHalf, content: &impl Serialize) -> io::Result<()> {
     writer.write_all(&encode_frame(content)?).await
 }
 
@@ -241,10 +241,10 @@
                 }
             }
         });
-        let (frame_sender, mut outgoing) = mpsc::unbounded_channel::<PredecessorFrame>();
+        let (frame_sender, mut outgoing) = mpsc::unbounded_channel::<OldProcessFrame>();
         let writer_task = tokio::spawn(async move {
             while let Some(frame) = outgoing.recv().await {
-                if write_to(&mut writer, &frame).await.is_err() {
+                if write_frame(&mut writer, &frame).await.is_err() {
                     return;
                 }
             }
@@ -262,14 +262,14 @@
                         replies.insert(last_request, reply);
                         let accepted = message.to_accepted(&self.settings, &self.clock);
                         let _ = frame_sender
-                            .send(PredecessorFrame::Submit { request: last_request, accepted });
+                            .send(OldProcessFrame::Submit { request: last_request, accepted });
                     }
                     NodeEvent::Terminate => terminated_at = terminated_at.or(Some(Instant::now())),
                     NodeEvent::CallEnded(end) => {
                         calls.remove(&(end.number, end.attempt));
                         let _ = frame_sender.send(call_ended_frame(end));
                     }
-                    other => self.forward(other, &frame_sender),
+                    other => self.handle_event(other, &frame_sender),
                 },
                 frame = received.recv() => match frame {
                     Some(OwnerFrame::Cancel { number, attempt }) => {
@@ -310,11 +310,11 @@
         Ok(reason)
     }
 
-    fn forward(&mut self, event: NodeEvent, frame_sender: &UnboundedSender<PredecessorFrame>) {
+    fn handle_event(&mut self, event: NodeEvent, frame_sender: &UnboundedSender<OldProcessFrame>) {
         // If the successor has ended, `run` notices it when it reads the next frame.
         match event {
             NodeEvent::ResponseEnded { number, written } => {
-                let _ = frame_sender.send(PredecessorFrame::ResponseEnded { number, written });
+                let _ = frame_sender.send(OldProcessFrame::ResponseEnded { number, written });
             }
             NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
             NodeEvent::RefusedLate { class } => self.metrics.record_result(class, MessageResult::Shed),
@@ -335,8 +335,8 @@
 }
 
 /// The frame for the end of a call. The connection of the call is closed.
-fn call_ended_frame(end: CallEnd) -> PredecessorFrame {
-    PredecessorFrame::CallEnded {
+fn call_ended_frame(end: CallEnd) -> OldProcessFrame {
+    OldProcessFrame::CallEnded {
         number: end.number,
         attempt: end.attempt,
         target: end.target,
@@ -374,7 +374,7 @@
             close_idle_after: Duration::ZERO,
             exit_within: Duration::ZERO,
         };
-        process.forward(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
+        process.handle_event(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
         let text = process.metrics.render(0, process.endpoint_counts);
         assert!(text.contains("responses.note.shed=1"), "{text}");
     }
--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -268,13 +268,13 @@
                 sleep(RETRY_PAUSE).await;
                 continue;
             };
-            let greeting = async {
+            let read_format = async {
                 let length = frame_length(stream.read_u32_le().await?.to_le_bytes())?;
                 let mut content = vec![0; length.min(usize::from(u16::MAX))];
                 stream.read_exact(&mut content).await?;
                 postcard::from_bytes::<String>(&content).map_err(io::Error::other)
             };
-            match timeout(EXCHANGE_TIMEOUT, greeting).await {
+            match timeout(EXCHANGE_TIMEOUT, read_format).await {
                 Ok(Ok(successor_format)) if successor_format == format => match stream.into_std() {
                     Ok(stream) => events.send(NodeEvent::Successor(stream)),
                     Err(error) => eprintln!("upgrade: {error}"),
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -177,7 +177,7 @@
     );
     let (mut node, listener) = loop {
         match hot_restart::acquire_ownership(&config.state_directory, &socket_path, &format).await? {
-            StartMode::ColdStart(lock) => break (Node::restored(&config, &events, lock)?, None),
+            StartMode::ColdStart(lock) => break (Node::restore_from_log(&config, &events, lock)?, None),
             StartMode::Takeover(offer) => match Node::take_over(&config, &events, *offer) {
                 Ok((node, listener)) => break (node, Some(listener)),
                 Err(error) => eprintln!("upgrade: cannot take over from the running process: {error}"),
@@ -288,7 +288,7 @@
     }
 
     /// Restores the state from the write-ahead log.
-    fn restored(config: &Config, events: &EventSender, lock: LogLock) -> io::Result<Node> {
+    fn restore_from_log(config: &Config, events: &EventSender, lock: LogLock) -> io::Result<Node> {
         let clock = Clock::new();
         let policy = DeliveryPolicy::new(clock.now(), config.seed, config.settings.settings.clone());
         let (mut node, restored) = Node::new(config, events, clock, policy)?;
@@ -296,7 +296,7 @@
         node.update_endpoints(config.known_endpoints.clone(), ListKind::Cached);
         node.recovery_stats = RecoveryStats::new(node.next_number, clock.now());
         for (number, message) in restored {
-            node.restore(number, message);
+            node.restore_message(number, message);
         }
         Ok(node)
     }
@@ -464,7 +464,7 @@
     }
 
     /// Restores one message from the write-ahead log.
-    fn restore(&mut self, number: u64, restored: RestoredMessage) {
+    fn restore_message(&mut self, number: u64, restored: RestoredMessage) {
         let RestoredMessage { accepted, attempts, notice } = restored;
         if let Some(notice) = notice {
             let order_key = order_key_hash(&accepted.order_key);
@@ -693,7 +693,7 @@
             target,
             address,
             message,
-            dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
+            connect_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
             timeout_at: self.clock.instant_at(until),
             connection,
             reads_limit_reports: self.settings.rate_index.is_some()
@@ -703,14 +703,16 @@
         tokio::spawn(calls::make_call(call, cancelled, self.events.clone()));
     }
 
-    fn notify_outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
+    fn notify_outcome(
+        &mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, message_ended: bool,
+    ) {
         self.notify_policy(Event::AttemptEnded {
             id,
             attempt,
             target,
             outcome,
             took: 0,
-            message_ended: ended,
+            message_ended,
             retry_after: 0,
             report: None,
         });
--- a/src/bin/foldtrack/node/takeover.rs
+++ b/src/bin/foldtrack/node/takeover.rs
@@ -6,7 +6,7 @@
 };
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::draining::{DrainingProcess, InheritedCall, PredecessorLink};
+use crate::draining::{DrainingProcess, InheritedCall, OldProcessLink};
 use crate::events::EventSender;
 use crate::hot_restart::{self, MessageState, TakeoverOffer, TakeoverState};
 use crate::message::Message;
@@ -33,10 +33,9 @@
         let reserved_connections = node.connection_limit.reserve(state.client_connections);
         let (calls, responding) = node.adopt_state(state, restored);
         let (events, settings) = (events.clone(), config.settings.clone());
-        let predecessor =
-            PredecessorLink { events, settings, calls, responding, reserved_connections, clock };
+        let old_process = OldProcessLink { events, settings, calls, responding, reserved_connections, clock };
         tokio::spawn(async move {
-            if let Err(error) = predecessor.run(stream).await {
+            if let Err(error) = old_process.run(stream).await {
                 eprintln!("upgrade: lost the connection to the old process: {error}");
             }
         });
@@ -75,7 +74,7 @@
         }
         // The other messages have ended, and their notices are not acknowledged yet.
         for (number, message) in restored {
-            self.restore(number, message);
+            self.restore_message(number, message);
         }
         let inherited = |(number, attempt, target, started): (u64, u32, TargetId, bool)| {
             let (cancel, cancelled) = oneshot::channel();
--- a/src/bin/foldtrack/overload.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -25,7 +25,7 @@
     longest_in_window: Duration,
     longest_in_previous_window: Duration,
     /// Mean turn time in seconds over about the last [`OVERLOAD_WINDOW`], and when it was updated.
-    mean_turn: f64,
+    mean_turn_seconds: f64,
     mean_updated_at: Option<Instant>,
 }
 
@@ -47,8 +47,8 @@
         let now = Instant::now();
         let since = self.mean_updated_at.replace(now).map_or(OVERLOAD_WINDOW, |at| now - at);
         let decay = |span: Duration| (-span.as_secs_f64() / OVERLOAD_WINDOW.as_secs_f64()).exp();
-        self.mean_turn *= decay(since);
-        self.mean_turn += took.as_secs_f64() * (1.0 - decay(took));
+        self.mean_turn_seconds *= decay(since);
+        self.mean_turn_seconds += took.as_secs_f64() * (1.0 - decay(took));
     }
 }
 
@@ -63,8 +63,8 @@
     }
 
     /// Records that a turn came, or ended, this much too late.
-    pub fn record_delay(&self, late: Duration) {
-        if late > LATE_TURN {
+    pub fn record_delay(&self, delay: Duration) {
+        if delay > LATE_TURN {
             self.state().overloaded_until = Some(Instant::now() + OVERLOAD_WINDOW);
         }
     }
@@ -108,7 +108,7 @@
     pub fn mean_turn_time(&self) -> Duration {
         let mut state = self.state();
         state.update_mean(Duration::ZERO);
-        Duration::from_secs_f64(state.mean_turn)
+        Duration::from_secs_f64(state.mean_turn_seconds)
     }
 
     /// The longest turn of the current and the previous window: what is decided now may be executed this
--- a/src/bin/foldtrack/report_client.rs
+++ b/src/bin/foldtrack/report_client.rs
@@ -74,9 +74,11 @@
 /// themselves.
 type IdleConnection = Arc<Mutex<Option<(SocketAddr, ReportConnection)>>>;
 
-fn lock_idle_connection(slot: &IdleConnection) -> MutexGuard<'_, Option<(SocketAddr, ReportConnection)>> {
+fn lock_idle_connection(
+    idle_connection: &IdleConnection,
+) -> MutexGuard<'_, Option<(SocketAddr, ReportConnection)>> {
     // Each change is an assignment: a panic elsewhere leaves it consistent.
-    slot.lock().unwrap_or_else(PoisonError::into_inner)
+    idle_connection.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Reports in flight. They are polled in the turn of the node itself, so that each is written in the turn in which it
@@ -84,13 +86,13 @@
 pub(crate) struct ReportClient {
     in_flight: Vec<Pin<Box<dyn Future<Output = Vec<u64>> + Send>>>,
     idle_connection: IdleConnection,
-    discovery: watch::Receiver<SocketAddr>,
+    discovery_address: watch::Receiver<SocketAddr>,
 }
 
 impl ReportClient {
     /// Sends reports to the current address of discovery.
-    pub fn new(discovery: watch::Receiver<SocketAddr>) -> ReportClient {
-        ReportClient { in_flight: Vec::new(), idle_connection: IdleConnection::default(), discovery }
+    pub fn new(discovery_address: watch::Receiver<SocketAddr>) -> ReportClient {
+        ReportClient { in_flight: Vec::new(), idle_connection: IdleConnection::default(), discovery_address }
     }
 
     pub fn has_capacity(&self) -> bool {
@@ -100,9 +102,10 @@
     /// Sends notices, one JSON object per line, until they are acknowledged. `numbers` are the numbers of their
     /// messages.
     pub fn send(&mut self, lines: String, numbers: Vec<u64>) {
-        let (slot, discovery) = (self.idle_connection.clone(), self.discovery.clone());
+        let (idle_connection, discovery_address) =
+            (self.idle_connection.clone(), self.discovery_address.clone());
         self.in_flight.push(Box::pin(async move {
-            send_report(Bytes::from(lines), numbers.len(), slot, discovery).await;
+            send_report(Bytes::from(lines), numbers.len(), idle_connection, discovery_address).await;
             numbers
         }));
     }
@@ -124,10 +127,10 @@
 }
 
 /// Posts a report on the kept connection or on a new one. Returns the status of the response, if one arrived.
-async fn post(address: SocketAddr, lines: Bytes, slot: &IdleConnection) -> Option<StatusCode> {
+async fn post(address: SocketAddr, lines: Bytes, idle_connection: &IdleConnection) -> Option<StatusCode> {
     loop {
         // A connection to another address is closed.
-        let idle = lock_idle_connection(slot).take().filter(|(to, _)| *to == address);
+        let idle = lock_idle_connection(idle_connection).take().filter(|(to, _)| *to == address);
         let reused = idle.is_some();
         let mut connection = match idle {
             Some((_, connection)) => connection,
@@ -137,7 +140,7 @@
         let request = request.header(CONTENT_TYPE, "application/json").body(Full::new(lines.clone())).ok()?;
         match connection.call(request).await {
             Some((status, usable)) => {
-                *lock_idle_connection(slot) = usable.then_some((address, connection));
+                *lock_idle_connection(idle_connection) = usable.then_some((address, connection));
                 return Some(status);
             }
             // The connection was closed while it was idle.
@@ -148,13 +151,14 @@
 }
 
 async fn send_report(
-    lines: Bytes, count: usize, slot: IdleConnection, mut discovery: watch::Receiver<SocketAddr>,
+    lines: Bytes, count: usize, idle_connection: IdleConnection,
+    mut discovery_address: watch::Receiver<SocketAddr>,
 ) {
     let mut report_timeout = FIRST_REPORT_TIMEOUT;
     loop {
-        let address = *discovery.borrow_and_update();
+        let address = *discovery_address.borrow_and_update();
         let attempt = async {
-            match timeout(report_timeout, post(address, lines.clone(), &slot)).await {
+            match timeout(report_timeout, post(address, lines.clone(), &idle_connection)).await {
                 Ok(Some(StatusCode::NO_CONTENT)) => return true,
                 Ok(status) => {
                     eprintln!("report of {count} notices to {address} failed, status {status:?}");
@@ -168,7 +172,7 @@
             biased;
             acknowledged = attempt => if acknowledged { return },
             // A report that the old address has not acknowledged goes to the new one at once.
-            Ok(()) = discovery.changed() => continue,
+            Ok(()) = discovery_address.changed() => continue,
         }
         report_timeout = (2 * report_timeout).min(MAX_REPORT_TIMEOUT);
     }
--- a/src/bin/foldtrack/report_client_tests.rs
+++ b/src/bin/foldtrack/report_client_tests.rs
@@ -33,13 +33,13 @@
     let (_discovery, address_receiver) = watch::channel(address);
     let mut reports = ReportClient::new(address_receiver);
     reports.send("{}\n".into(), vec![7]);
-    let agent = async {
+    let discovery_server = async {
         let _silent = listener.accept().await.unwrap();
         acknowledge_all(&listener).await;
     };
     let acknowledged = tokio::select! {
         acknowledged = timeout(TIMEOUT, reports.acknowledged()) => acknowledged,
-        () = agent => unreachable!(),
+        () = discovery_server => unreachable!(),
     };
     assert_eq!(acknowledged, Ok(vec![7]));
 }
@@ -54,16 +54,16 @@
     let address = listener.local_addr().unwrap();
     *lock_idle_connection(&reports.idle_connection) =
         Some((address, ReportConnection::open(address).await.unwrap()));
-    let mut agent = listener.accept().unwrap().0;
-    agent.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let mut discovery_server = listener.accept().unwrap().0;
+    discovery_server.set_read_timeout(Some(TIMEOUT)).unwrap();
     for number in [1, 2] {
         reports.send(format!("notice {number}\n"), vec![number]);
-        // One poll is enough: no other task runs before the agent reads the report.
+        // One poll is enough: no other task runs before the discovery server reads the report.
         assert!(pin!(reports.acknowledged()).poll(&mut Context::from_waker(Waker::noop())).is_pending());
         let mut received = [0; 1024];
-        let n = std::io::Read::read(&mut agent, &mut received).expect("a report");
+        let n = std::io::Read::read(&mut discovery_server, &mut received).expect("a report");
         assert!(String::from_utf8_lossy(&received[..n]).contains(&format!("notice {number}")));
-        std::io::Write::write_all(&mut agent, ACKNOWLEDGED).unwrap();
+        std::io::Write::write_all(&mut discovery_server, ACKNOWLEDGED).unwrap();
         assert_eq!(timeout(TIMEOUT, reports.acknowledged()).await, Ok(vec![number]));
     }
 }
