--- a/src/bin/foldtrack/admin_server.rs
+++ b/src/bin/foldtrack/admin_server.rs
@@ -25,8 +25,8 @@
 pub(crate) const MAX_CONNECTIONS: usize = 16;
 /// Time within which a request has to arrive whole: its response is due 1 s after it began.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
-/// If the node has not responded this long after the connection was accepted, as while it waits to take over,
-/// the response is 503.
+/// If the node has not responded this long after the connection was accepted, for example because it waits to
+/// take over, the response is 503.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// No request needs a body; one longer than this is not read.
 const MAX_BODY_BYTES: usize = 4 * 1024;
--- a/src/bin/foldtrack/admission.rs
+++ b/src/bin/foldtrack/admission.rs
@@ -2,8 +2,8 @@
 //! served first.
 //!
 //! The runtime polls tasks in the order in which they become ready. Under overload hundreds of client
-//! connections are ready at a time, and the end of a message, its notice and the acknowledgement each would
-//! wait behind all of them. A turn is one pass of the event loop over all tasks that are ready.
+//! connections are ready at a time, and the end of a message, its notice and the acknowledgement would each
+//! wait behind all of them. A turn is one pass of the runtime's event loop over all tasks that are ready.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -29,7 +29,7 @@
 }
 
 impl Queue {
-    /// Takes the oldest and the newest waiter alternately: the newest can still be answered in time, while
+    /// Takes the oldest and the newest waiter alternately: the newest can still get its response in time, while
     /// the client of the oldest may have disconnected.
     fn next_waiter(&mut self) -> Option<oneshot::Sender<()>> {
         self.picked_oldest = !self.picked_oldest;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Limits how many connections may accept or read a request per turn of the event loop.
+/// Limits how many connections are accepted, or how many requests are read, per turn of the event loop.
 #[derive(Clone)]
 pub(crate) struct AdmissionLimiter(Arc<Mutex<Queue>>);
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// One connection's place in the queue of a limiter.
+/// A place in the queue of a limiter.
 pub(crate) struct AdmissionWaiter {
     limiter: AdmissionLimiter,
     pending: Option<(Instant, oneshot::Receiver<()>)>,
--- a/src/bin/foldtrack/calls.rs
+++ b/src/bin/foldtrack/calls.rs
@@ -29,8 +29,8 @@
 
 impl IdleConnectionPool {
     /// Endpoints close a connection that has been idle for `idle_timeout`. A call on a connection that is being
-    /// closed may have run, which ends a message that is unsafe to repeat. So connections are not used any more in
-    /// the last second of that time.
+    /// closed may have run, which ends a message that is unsafe to repeat. So connections are no longer used in the
+    /// last second of that time, or in its last quarter if that is shorter.
     pub fn new(idle_timeout: Duration, max_connections: usize) -> Self {
         let margin = Duration::from_secs(1).min(idle_timeout / 4);
         IdleConnectionPool { by_target: BTreeMap::new(), max_idle: idle_timeout - margin, max_connections }
@@ -110,8 +110,8 @@
                 else {
                     return Err(Outcome::ConnectFailed);
                 };
-                // A lost packet delays connecting by a second. A drain or wait that arrived meanwhile applies to this
-                // call too, so the node is asked once more.
+                // A lost packet delays connecting by a second. A drain or a Retry-After that arrived meanwhile applies
+                // to this call too, so the node is asked once more.
                 let (proceed, may_proceed) = oneshot::channel();
                 let (number, attempt, target) = (call.number, call.attempt, call.target);
                 events.send(NodeEvent::Connected { number, attempt, target, proceed });
@@ -188,7 +188,8 @@
     closes && end.outcome == Outcome::Rejected && end.wait_until.is_none()
 }
 
-/// Determines the outcome from the response, by the table of the protocol. A call with any other status may have run.
+/// Determines the outcome from the status and headers of the response, by the table of the protocol. After any other
+/// status the call may have run.
 fn read_response_head(end: &mut CallEnd, response: &Response<Incoming>, reads_limit_reports: bool) {
     let headers = response.headers();
     end.outcome = match response.status() {
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -42,15 +42,15 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Additional time for a head that has begun to arrive by then.
 const HEAD_COMPLETION_TIMEOUT: Duration = BODY_TIMEOUT;
-/// A client that does not finish its request within this time has disconnected: it waits only 400 ms for its
-/// response.
+/// A client that does not finish its request within this time is taken to have disconnected: it waits only
+/// 400 ms for its response.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a client waits for its response.
 const CLIENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// A request that has waited this long to be read is refused: the rest of the client's time is needed to read
 /// it, to decide and to respond.
 const MAX_READ_DELAY: Duration = Duration::from_millis(200);
-/// Retry-after for requests refused under overload, where the settings allow one: the excess has been
+/// Retry-After for requests refused under overload, where the settings allow one: the excess has been
 /// processed or refused by then.
 const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
 /// Delay between the `Closing` stage and the close of a connection.
@@ -75,14 +75,15 @@
 /// Length of the listener's accept queue without overload: the length that the listener is bound with.
 const MAX_ACCEPT_BACKLOG: u32 = 1024;
 
-/// Length of the accept queue that can be accepted in time for a response, given the mean turn time.
+/// Number of queued connections that can be accepted in time for a response, given the mean turn time.
 /// Connections beyond it cost no processor time, and a longer queue would fill with clients that have given up.
 fn accept_backlog(mean_turn_time: Duration) -> u32 {
     let turns = MAX_READ_DELAY.as_secs_f64() / mean_turn_time.as_secs_f64().max(1e-6);
     ((turns * ACCEPTS_PER_TURN as f64) as u32).clamp(1, MAX_ACCEPT_BACKLOG)
 }
 
-/// Accepts and serves connections until the stage of the process ends that.
+/// Accepts and serves connections until a successor accepts them, or until this process closes its listener
+/// and all queued connections have been accepted.
 pub(crate) async fn serve(listener: TcpListener, context: Arc<ServerContext>, connections: ConnectionLimit) {
     let mut stage = context.stage.clone();
     let mut waiter = AdmissionWaiter::new(&AdmissionLimiter::new(ACCEPTS_PER_TURN));
@@ -122,8 +123,8 @@
         let accepted = tokio::select! {
             accepted = accept => accepted,
             _ = stage.wait_for(|s| !s.accepts()), if !closing => {
-                // A successor accepts from the same queue. Otherwise connections that wait in it would be
-                // reset without a response.
+                // After a takeover the successor accepts from the same queue. Otherwise the queued connections
+                // are accepted first, as closing the listener would reset them without a response.
                 if *context.stage.borrow() == LifecycleStage::HandedOver {
                     if backlog < MAX_ACCEPT_BACKLOG {
                         set_backlog(&listener, MAX_ACCEPT_BACKLOG);
@@ -136,8 +137,8 @@
         };
         match accepted {
             Some((_, stream, _)) if context.overload.is_overloaded() && has_hung_up(&stream) => {
-                // Awaited here rather than in a task of its own: it holds no permit, so the open descriptors
-                // would be unbounded.
+                // Awaited here rather than in a task of its own, which would hold no permit: the number of open
+                // file descriptors would be unbounded.
                 refuse_unread(stream).await;
             }
             Some((permit, stream, queue_time)) => {
@@ -169,7 +170,7 @@
 
 /// Refuses a connection that was half-closed before it was accepted, under overload, without reading it.
 /// Nearly all of these clients have given up after their 400 ms. Processing their requests would take the
-/// time that live clients need, until every request is served too late.
+/// time that the other clients need, until every request is served too late.
 async fn refuse_unread(mut stream: impl ClientStream) {
     let refusal_response =
         b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
@@ -216,7 +217,7 @@
     queue_time: Duration,
     /// The wait was too long for a response in time.
     too_late: bool,
-    /// The client also disconnected meanwhile.
+    /// Besides, the client has disconnected meanwhile.
     client_gone: bool,
 }
 
@@ -361,7 +362,7 @@
         }
     }
     let client = http_connection.into_parts().io.into_inner().stream;
-    // A response that was not written accepts nothing: dropping its guard reports that.
+    // A message whose response was not written is not accepted: dropping the guard reports that.
     let client_gone = std::mem::take(&mut *state.progress()).client_gone;
     if client_gone {
         refuse_unread(client).await;
@@ -394,7 +395,7 @@
     response
 }
 
-/// A 503 response, with a retry-after unless that is 0.
+/// A 503 response, with a Retry-After unless that is 0.
 fn refusal_response(retry_in_ms: u64) -> Response<Full<Bytes>> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if retry_in_ms > 0 {
@@ -433,7 +434,7 @@
     }
 }
 
-/// Parses a request into a message, or returns the status of the response that refuses it.
+/// Reads a request into a message, or returns the status of the response that refuses it.
 async fn read_message(
     request: Request<Incoming>, context: &ServerContext, queue_time: Duration,
 ) -> Result<Message, StatusCode> {
--- a/src/bin/foldtrack/client_server_tests.rs
+++ b/src/bin/foldtrack/client_server_tests.rs
@@ -1,5 +1,5 @@
-//! Client connections as peers see them, mostly in paused time: no peer keeps a connection open without
-//! sending a request.
+//! Tests of client connections as their peers observe them, most of them with the clock paused. No peer may keep
+//! a connection open without sending a request.
 
 use super::*;
 use crate::events;
@@ -46,21 +46,22 @@
     })
 }
 
-/// Connects a peer to a server; with the sender of the server's stage.
+/// Connects a peer to a new server. Returns the peer's end of the connection and the sender that sets the
+/// lifecycle stage of the server.
 async fn connect() -> (DuplexStream, watch::Sender<LifecycleStage>) {
     let (peer, stage, _) = connect_with_limit(&ConnectionLimit::new(1)).await;
     (peer, stage)
 }
 
-/// The same under a shared connection limit; with the receiver of the events that the server reports to the
-/// node.
+/// Like [`connect`], under a connection limit that may be shared. Also returns the receiver of the events that
+/// the server reports to the node.
 async fn connect_with_limit(
     connections: &ConnectionLimit,
 ) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
     connect_with_buffer(1 << 20, connections).await
 }
 
-/// The same over a network that buffers `buffer_bytes` in each direction.
+/// Like [`connect_with_limit`], over a network that buffers `buffer_bytes` in each direction.
 async fn connect_with_buffer(
     buffer_bytes: usize, connections: &ConnectionLimit,
 ) -> (DuplexStream, watch::Sender<LifecycleStage>, UnboundedReceiver<NodeEvent>) {
@@ -122,8 +123,8 @@
     assert!(head_time + took < CLOSE_DEADLINE, "closed after {:?}", head_time + took);
 }
 
-/// Guards against deadlines that count from when a request is read: under overload it waits in queues before,
-/// and its message ended, with its notice, too late by that time.
+/// Guards against deadlines that count from when a request is read: under overload it has waited in queues
+/// before, so the message ended, and its notice was sent, too late by that wait.
 #[tokio::test(start_paused = true)]
 async fn deadline_counts_from_before_the_wait_to_be_read() {
     let (mut client, server_side) = duplex(1024);
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -58,7 +58,7 @@
     env::var(name).ok().filter(|text| !text.is_empty()).map(parse).transpose()
 }
 
-/// Reads the configuration file. Returns its path and its present content.
+/// Reads the configuration file. Returns its path and its parsed content.
 fn read_file() -> Result<(String, ConfigFile), String> {
     let path = required_variable("BALANCER_CONFIG")?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -87,7 +87,7 @@
         let state_directory = PathBuf::from(required_variable("BALANCER_STATE")?);
         Ok(Config {
             listen_address: address_variable("BALANCER_LISTEN")?.unwrap_or(file.listen),
-            // The environment still has the address of the first start; the file may be newer.
+            // Not from the environment, which still has the address of the first start: the file may be newer.
             discovery_address: file.discovery,
             admin_address: address_variable("BALANCER_ADMIN")?.or(file.admin),
             seed: u64::from_str_radix(&file.seed, 16)
--- a/src/bin/foldtrack/connection.rs
+++ b/src/bin/foldtrack/connection.rs
@@ -28,20 +28,21 @@
 /// Value of `PendingClass` while no message is being written.
 const NOT_WRITING: usize = usize::MAX;
 
-/// Class of the message that is being written, for its completion to be reported. The HTTP library flushes the stream
-/// once it has written its buffer: the first flush after it has taken the body marks the message as written
-/// completely.
+/// Class of the message that is being written, so that the end of the write can be reported. The HTTP library flushes
+/// the stream once it has written its buffer: the first flush after it has taken the body means that the message has
+/// been written completely.
 type PendingClass = Arc<AtomicUsize>;
 
 /// A request body in one piece. When the HTTP library takes it, it sets the pending class, so that the next flush is
 /// reported.
 pub(crate) struct RequestBody {
     bytes: Option<Bytes>,
+    /// Class of the message, and where to set it once the body is taken; `None` if the write is not reported.
     report: Option<(usize, PendingClass)>,
 }
 
 impl RequestBody {
-    /// A body whose writing is not reported.
+    /// A body whose write is not reported.
     pub fn unreported(bytes: Bytes) -> RequestBody {
         RequestBody { bytes: Some(bytes).filter(|b| !b.is_empty()), report: None }
     }
@@ -161,8 +162,8 @@
 }
 
 impl HttpConnection {
-    /// Connects to `address`. `on_written` is called with the class of each message of
-    /// [`HttpConnection::request_body`] that has been written completely.
+    /// Connects to `address`. `on_written` is called when a body from [`HttpConnection::request_body`] has been written
+    /// completely, with the class of its message.
     pub async fn open(
         address: SocketAddr, on_written: impl Fn(usize) + Send + Unpin + 'static,
     ) -> io::Result<HttpConnection> {
@@ -184,7 +185,7 @@
         Ok(HttpConnection { sender, driver, pending_class, status_line })
     }
 
-    /// The body of a message. Its writing is reported on this connection.
+    /// The body for a message on this connection. The end of its write is reported.
     pub fn request_body(&self, message: &Message) -> RequestBody {
         RequestBody::reported(message.body.clone(), message.class, self.pending_class.clone())
     }
--- a/src/bin/foldtrack/disabled_endpoints.rs
+++ b/src/bin/foldtrack/disabled_endpoints.rs
@@ -1,4 +1,4 @@
-//! Names of the endpoints that operators have disabled, in a file that survives the process.
+//! Stores the names of the endpoints that operators have disabled in a file that survives the process.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -7,7 +7,7 @@
 /// Disk space that the old and the new file may take up together during a change. The write-ahead log leaves it free.
 pub(crate) const RESERVED_BYTES: u64 = 16 * 1024;
 
-/// The names of the disabled endpoints, and the file that has them.
+/// The names of the disabled endpoints, and the file that stores them.
 #[derive(Debug)]
 pub(crate) struct DisabledEndpoints {
     path: PathBuf,
@@ -17,7 +17,7 @@
 impl DisabledEndpoints {
     pub fn open(directory: &Path) -> io::Result<DisabledEndpoints> {
         let path = directory.join("out");
-        // Left over from a change that the process did not live to finish: its request got no response.
+        // Left over from a change that the end of the process interrupted: its request got no response.
         let _ = std::fs::remove_file(path.with_extension("new"));
         let names = match std::fs::read(&path) {
             Ok(bytes) => serde_json::from_slice(&bytes)?,
--- a/src/bin/foldtrack/discovery_client.rs
+++ b/src/bin/foldtrack/discovery_client.rs
@@ -1,5 +1,5 @@
-//! Runs the discovery client over HTTP and passes the lists on to the node. The connection is kept between exchanges
-//! unless one fails.
+//! The discovery client over HTTP, which passes the endpoint lists on to the node. The connection is kept between
+//! exchanges unless one fails.
 
 use crate::connection::{HttpConnection, RequestBody};
 use crate::events::{EventSender, NodeEvent};
--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -1,5 +1,5 @@
-//! Draining after a hot restart: the old process completes its calls and serves its client connections, and the new
-//! owner of the write-ahead log decides on their messages. The two exchange frames until the old process ends.
+//! Draining after a hot restart: the old process completes its calls and serves its client connections, while the new
+//! owner of the write-ahead log decides about their messages. The two exchange frames until the old process ends.
 
 use crate::clock::Clock;
 use crate::connection_limit::ConnectionLimit;
@@ -27,7 +27,7 @@
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Time for the frames of an ending process to be written.
+/// Time limit for writing the last frames when the old process ends.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How often a draining process checks whether it has anything left to do.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -76,7 +76,7 @@
 /// A call of the old process: message number, attempt, target, and the receiver of its cancellation.
 pub(crate) type InheritedCall = (u64, u32, TargetId, oneshot::Receiver<()>);
 
-/// The link of the owner to the process that it took over from.
+/// The owner's link to the old process, from which it has taken over.
 pub(crate) struct OldProcessLink {
     pub events: EventSender,
     pub settings: Arc<DeploymentSettings>,
@@ -95,9 +95,8 @@
 }
 
 impl OldProcessLink {
-    /// Passes the frames of the old process on to the node until that process has ended. Whatever it leaves
-    /// unfinished is then ended here: its calls may have run, and clients may have been told that their messages are
-    /// accepted.
+    /// Passes the frames of the old process on to the node until that process has ended. Then reports the end of what
+    /// it has left unfinished: its calls may have run, and clients may have been told that their messages are accepted.
     pub async fn run(self, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
@@ -136,7 +135,7 @@
                         Command::Respond { request, response: SubmitResponse::Refused { retry_in_ms } } =>
                             OwnerFrame::Refused { request, retry_in_ms },
                     };
-                    // If the old process has ended, its side of the stream is closed too.
+                    // If the old process has ended, the end of its frames reports that.
                     let _ = write_frame(&mut writer, &frame).await;
                 }
                 frame = received.recv() => match frame {
@@ -212,7 +211,8 @@
     pub clock: Clock,
     pub stage: watch::Sender<LifecycleStage>,
     pub connection_limit: ConnectionLimit,
-    /// After a signal to terminate: when idle connections close, and by when the process has ended.
+    /// After a signal to terminate: how long until idle connections are closed, and until the process exits at the
+    /// latest.
     pub close_idle_after: Duration,
     pub exit_within: Duration,
 }
@@ -278,7 +278,7 @@
                         let _ = cancel.map(|cancel| cancel.send(()));
                     }
                     Some(OwnerFrame::Accepted { request, number }) => {
-                        // If the client has gone, the guard is dropped here, which reports it.
+                        // If the client has disconnected, the guard is dropped here and reports that.
                         let response =
                             SubmitResponse::Accepted(ResponseGuard::new(number, self.events.clone()));
                         let _ = replies.remove(&request).map(|reply| reply.send(response));
@@ -310,8 +310,9 @@
         Ok(reason)
     }
 
+    /// Handles an event that [`DrainingProcess::run`] does not handle itself.
     fn handle_event(&mut self, event: NodeEvent, frame_sender: &UnboundedSender<OldProcessFrame>) {
-        // If the successor has ended, `run` notices it when it reads the next frame.
+        // If the successor has ended, `run` notices that by the end of its frames.
         match event {
             NodeEvent::ResponseEnded { number, written } => {
                 let _ = frame_sender.send(OldProcessFrame::ResponseEnded { number, written });
@@ -328,13 +329,13 @@
                     }
                 });
             }
-            // The successor itself watches the endpoint list, sends the notices and reads the configuration.
+            // The successor watches the endpoint list, sends the notices and reads the configuration.
             _ => {}
         }
     }
 }
 
-/// The frame for the end of a call. The connection of the call is closed.
+/// The frame that reports the end of a call. The connection of the call is dropped, which closes it.
 fn call_ended_frame(end: CallEnd) -> OldProcessFrame {
     OldProcessFrame::CallEnded {
         number: end.number,
@@ -355,8 +356,8 @@
     use crate::events;
     use serde_json::json;
 
-    /// Guards against uncounted refusals: a client that the old process refused for lack of time has its response
-    /// from it, so the successor does not count that message.
+    /// Guards against uncounted refusals: the old process itself refuses a request that has waited too long, so the
+    /// successor does not count it.
     #[test]
     fn a_draining_process_counts_its_refusals() {
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
--- a/src/bin/foldtrack/endpoint_list_cache.rs
+++ b/src/bin/foldtrack/endpoint_list_cache.rs
@@ -1,5 +1,6 @@
-//! The last endpoint list from discovery, in a file that survives the process. Drains in it apply to the next process
-//! from its start, also while discovery is silent; the list in the configuration may be older.
+//! Caches the last endpoint list from discovery in a file that survives the process. The next process thus knows from
+//! its start which endpoints are draining, even if discovery does not respond; the list in the configuration may be
+//! older.
 
 use hatchline::discovery::list::{ServerEntry, ServerList, ServerState};
 use std::collections::BTreeMap;
@@ -7,7 +8,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Smallest file size to reserve space for, whatever the list: some 200 endpoints.
+/// Smallest file size to reserve space for, even if the list is shorter: enough for some 200 endpoints.
 const MIN_FILE_BYTES: usize = 32 * 1024;
 
 /// Disk space to reserve for a list of this size that may grow by a quarter: a new file is written beside the one
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Applies a full list or changes to it, and writes the resulting list. If it needs more space, `reserve_more` is
-    /// asked to reserve so many more bytes, and returns whether it could.
+    /// Applies a full list or changes to it, and writes the resulting list. If that needs more space than is reserved,
+    /// `reserve_more` is called with the number of missing bytes and returns whether it has reserved them.
     pub fn update(&mut self, list: &ServerList, reserve_more: impl FnOnce(u64) -> bool) {
         if list.full {
             self.entries.clear();
@@ -67,7 +68,7 @@
         self.entries.extend(list.servers.iter().map(|entry| (entry.id.clone(), entry.clone())));
         self.entries.retain(|_, entry| entry.state != ServerState::Left);
         if let Err(error) = self.write(list.version, reserve_more) {
-            // An outdated list is worse than the one in the configuration.
+            // Removes the old file: an outdated list is worse than the one in the configuration.
             let _ = fs::remove_file(&self.path);
             eprintln!("discovery: cannot cache the endpoint list: {error}");
         }
@@ -147,7 +148,7 @@
         assert_eq!((cached.version, cached.servers.len()), (1, 1024));
         let on_disk = fs::metadata(path(directory.path())).unwrap().len().next_multiple_of(512);
         assert!(2 * on_disk <= reserved, "two files of {on_disk} bytes in {reserved}");
-        // From the next start on the space is reserved from the beginning.
+        // The next process reserves that space from its start.
         assert_eq!(super::reserved_bytes(&cached), reserved);
         EndpointListCache::open(directory.path(), &cached).update(&list_of_1024(2), |_| false);
         assert_eq!(load_newest(directory.path(), ServerList::default()).version, 2);
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -1,5 +1,5 @@
-//! Events that connections, timers and signals report to the node, and the sender by which they do so.
-//! Modules that report events depend on this module, never on the node.
+//! Events that other tasks report to the node, and the channel through which they do so. Modules that report
+//! events depend on this module, never on the node.
 
 use crate::connection::HttpConnection;
 use crate::message::Message;
@@ -37,12 +37,13 @@
 pub(crate) enum SubmitResponse {
     /// The message is accepted once the response has been written.
     Accepted(ResponseGuard),
-    /// The message is refused; 0 stands for no retry-after.
+    /// The message is refused, with this Retry-After; 0 for none.
     Refused { retry_in_ms: u64 },
 }
 
 /// Reports to the node, when dropped, whether the client's response has been written.
 pub(crate) struct ResponseGuard {
+    /// Number of the message.
     number: u64,
     events: EventSender,
     pub written: bool,
@@ -64,14 +65,14 @@
     }
 }
 
-/// What can happen to the node.
+/// An event that the node handles. Messages are identified by `number`, their number in the order of arrival.
 pub(crate) enum NodeEvent {
     /// A client submits a message.
     Submit {
         message: Arc<Message>,
         reply: oneshot::Sender<SubmitResponse>,
     },
-    /// The response that accepts a message has been written, or its client has disconnected before.
+    /// The response that accepts a message has been written, or the client disconnected first.
     ResponseEnded {
         number: u64,
         written: bool,
@@ -109,8 +110,8 @@
     Terminate,
 }
 
-/// Sends events to the node. The queue itself is unbounded, but each connection and each call has at most one
-/// event pending, and connections and calls are bounded.
+/// Sends events to the node. The queue itself is unbounded, but each connection and each call has at most a
+/// few events pending, and connections and calls are bounded.
 #[derive(Clone)]
 pub(crate) struct EventSender(UnboundedSender<NodeEvent>);
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// Creates the channel of a node.
+/// Creates the channel through which a node receives its events.
 pub(crate) fn channel() -> (EventSender, UnboundedReceiver<NodeEvent>) {
     let (sender, receiver) = mpsc::unbounded_channel();
     (EventSender(sender), receiver)
@@ -130,6 +131,7 @@
 /// The end of a call.
 #[derive(Debug)]
 pub(crate) struct CallEnd {
+    /// Number of the message.
     pub number: u64,
     pub attempt: u32,
     pub target: TargetId,
@@ -144,7 +146,7 @@
     pub limit_report: Option<LimitReport>,
     /// The status of the response arrived, the rest of it did not.
     pub response_truncated: bool,
-    /// The endpoint's generation when the call began.
+    /// The connection generation of the endpoint when the call began.
     pub generation: u32,
     /// The connection, if it can be reused.
     pub connection: Option<HttpConnection>,
--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Hot restart: a new process takes over from the running one. This module has the lock that tells who owns the
-//! write-ahead log, and the exchange in which the ownership changes hands.
+//! Hot restart: a new process takes over from the running one. This module contains the lock whose holder owns the
+//! write-ahead log, and the exchange that transfers the ownership.
 
 use crate::events::{EventSender, NodeEvent};
 use hatchline::settings::DeploymentSettings;
@@ -20,23 +20,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Timeout of each step of the exchange. The owner decides nothing while it waits.
+/// Timeout of each step of the exchange. The owner is blocked while it waits.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before a successor tries again.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest content of a frame: the policy state with as many messages as may be held.
+/// Longest content of a frame: the state with the maximum number of held messages.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 /// Longest path that fits into a Unix socket address.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
 
-/// The bytes of the exchange, in their order: the file descriptors come with the first, the successor is ready to
-/// take over, the successor is the owner.
+/// The one-byte messages of the exchange, in order: the owner sends its file descriptors, the successor is ready to
+/// take over, the owner grants the ownership.
 const DESCRIPTORS: u8 = 1;
 const SUCCESSOR_READY: u8 = 2;
 const OWNERSHIP_GRANTED: u8 = 3;
 
-/// File lock that the owner of the write-ahead log holds. The kernel releases it when the owner ends, in whatever
-/// way.
+/// File lock that the owner of the write-ahead log holds. The kernel releases it when the owner ends, also after a
+/// crash.
 #[derive(Debug)]
 pub(crate) struct LogLock(File);
 
@@ -59,7 +59,7 @@
     format!("{} {class_names:?} {kind_names:?} {zone_names:?}", hatchline::FORMAT)
 }
 
-/// State of a held message that the write-ahead log does not contain.
+/// The part of the state of a held message that the write-ahead log does not contain.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct MessageState {
     /// Number of the message in the order of arrival.
@@ -72,7 +72,7 @@
     pub pending_send: Option<(u32, TargetId, Micros, Micros)>,
 }
 
-/// The state that a successor needs beside the write-ahead log.
+/// The state that a successor needs in addition to the write-ahead log.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct TakeoverState {
     /// The owner's clock, and the Unix time at that moment.
@@ -86,7 +86,7 @@
     /// Calls that the old process completes: message number, attempt, target, and whether the start of the attempt is
     /// logged.
     pub calls: Vec<(u64, u32, TargetId, bool)>,
-    /// Endpoints by target number: name, address, zone, connection generation.
+    /// Endpoints by target id: name, address, zone, connection generation.
     pub endpoints: Vec<(String, SocketAddr, u32, u32)>,
     /// Due time and token of each timer of the policy.
     pub timers: Vec<(Micros, u32)>,
@@ -111,7 +111,7 @@
     lock: LogLock,
 }
 
-/// Determines how to start. Waits for as long as there is an owner that neither hands over nor ends.
+/// Determines how to start. Waits while another process is the owner and neither hands over nor ends.
 pub(crate) async fn acquire_ownership(
     state_directory: &Path, socket_path: &Path, format: &str,
 ) -> io::Result<StartMode> {
@@ -140,8 +140,8 @@
     shared.unwrap_or_else(|| state_directory.to_path_buf()).join("handover")
 }
 
-/// Returns a path that fits into a socket address. A longer path is reached through its open directory, which must
-/// stay open meanwhile.
+/// Returns a path that fits into a socket address. Instead of a longer path it returns one through an open file
+/// descriptor of the directory, which must be kept while the path is in use.
 fn short_socket_path(path: &Path) -> io::Result<(PathBuf, Option<File>)> {
     let (Some(directory), Some(name)) = (path.parent(), path.file_name()) else {
         return Err(io::Error::other("takeover socket path has no parent directory"));
@@ -153,7 +153,7 @@
     Ok((Path::new(&format!("/proc/self/fd/{}", directory.as_raw_fd())).join(name), Some(directory)))
 }
 
-/// The side of the successor in the exchange, up to the offer.
+/// The successor's side of the exchange, up to the offer.
 fn request_takeover(socket_path: &Path, format: &str) -> io::Result<TakeoverOffer> {
     let (path, _directory) = short_socket_path(socket_path)?;
     let mut stream = UnixStream::connect(path)?;
@@ -168,8 +168,8 @@
 }
 
 impl TakeoverOffer {
-    /// Tells the owner that this process is ready to take over and waits for the grant. On an error nothing has
-    /// changed hands.
+    /// Tells the owner that this process is ready to take over and waits for the grant. On an error this process has
+    /// not become the owner.
     pub fn accept(mut self) -> io::Result<(TakeoverState, LogLock, std::net::TcpListener, UnixStream)> {
         self.stream.write_all(&[SUCCESSOR_READY])?;
         let mut reply = [0];
@@ -181,7 +181,7 @@
     }
 }
 
-/// The side of the owner in the exchange. On an error it is still the owner.
+/// The owner's side of the exchange. On an error it remains the owner.
 pub(crate) fn offer_takeover(
     mut stream: &UnixStream, state: &TakeoverState, listener: &OwnedFd, lock: &LogLock,
 ) -> io::Result<()> {
@@ -252,7 +252,8 @@
     postcard::from_bytes(&content).map_err(io::Error::other)
 }
 
-/// Listens for successors and passes those whose state format matches on to the node.
+/// Listens for successors. One with the same state format is passed on to the node; for one with another format this
+/// process terminates.
 pub(crate) fn listen_for_successors(
     socket_path: &Path, format: String, events: EventSender,
 ) -> io::Result<JoinHandle<()>> {
--- a/src/bin/foldtrack/interval_stats.rs
+++ b/src/bin/foldtrack/interval_stats.rs
@@ -20,10 +20,11 @@
     given_up: u32,
     /// Clients that disconnected before their response was written.
     pub clients_gone: u32,
-    /// Calls by outcome, and the total time for which they held their slots.
+    /// Calls by outcome, in the order of [`outcome_index`].
     calls_by_outcome: [u32; 9],
     /// Responses whose status arrived, but whose rest did not.
     pub truncated_responses: u32,
+    /// Total time for which the calls of each outcome held their slots.
     call_time_by_outcome: [Duration; 9],
     /// Resets on connections that had been idle, the shortest idle time among these, and the longest idle
     /// time after which a call succeeded.
@@ -35,7 +36,7 @@
     pub longest_round: Micros,
 }
 
-/// What became of the messages that a restart found accepted, not yet attempted and within their deadlines.
+/// What has become of the restored messages that had no attempt yet and whose deadlines had not passed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecoveryStats {
     /// When the restart was, and the first message number assigned after it.
@@ -64,7 +65,7 @@
     }
 }
 
-/// Values at the time at which the line is written.
+/// Values at the time when the line is written.
 pub(crate) struct Gauges {
     pub recovery: RecoveryStats,
     pub held_messages: usize,
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Counts an accepted message that ends by a notice. Returns a log line for it, up to
-    /// [`MAX_UNDELIVERED_LINES`] per interval.
+    /// Counts an accepted message that ends by a notice; `left` is the time to its deadline in microseconds,
+    /// negative after the deadline. Returns a log line for it, up to [`MAX_UNDELIVERED_LINES`] per interval.
     pub fn record_undelivered(
         &mut self, id: &str, notice: NonDeliveryNotice, attempts: u32, left: i64,
     ) -> Option<String> {
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -59,13 +59,13 @@
     result.map_err(|e| format!("cannot serve on {listen} with state directory {}: {e}", state.display()))
 }
 
-/// Upper bound on the tasks that the runtime polls before it checks the node, sockets and timers again. One
-/// task takes about 0.1 ms: with 1% of a core the node runs again within 100 ms, and the checks cost about 1%
-/// of that time.
+/// Upper bound on the tasks that the runtime polls before it polls the node again and checks sockets and
+/// timers. One task takes about 0.1 ms: with 1% of a core the node runs again within 100 ms, and the checks
+/// cost about 1% of that time.
 const TASK_POLLS_PER_EVENT_CHECK: u32 = 8;
 
-/// Replaces this process by a fresh start from the write-ahead log. Called when the successor, which owned
-/// the log, has ended.
+/// Executes the program anew in this process, which then restores its state from the write-ahead log. Called
+/// when the successor, which owned the log, has ended.
 fn restart_process() -> ExitCode {
     eprintln!("foldtrack: the successor has ended; restarting from the write-ahead log");
     let error = match std::env::current_exe() {
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Converts from the form in the write-ahead log. If the settings do not name the class any more, the class index
-    /// is beyond all of theirs.
+    /// Converts from the form in the write-ahead log. If the settings no longer name the class, the class index is out
+    /// of range.
     pub fn from_accepted(accepted: AcceptedMessage, settings: &DeploymentSettings, clock: &Clock) -> Message {
         let class = settings.class_names.iter().position(|n| *n == accepted.class);
         Message {
@@ -64,7 +64,8 @@
     }
 }
 
-/// The order key as the policy knows it, 0 for none. Two keys with the same hash only wait for each other.
+/// Hash that identifies the order key to the policy, 0 for none. A collision does no harm: the messages of both keys
+/// are then delivered one at a time.
 pub(crate) fn order_key_hash(order_key: &str) -> u64 {
     if order_key.is_empty() {
         return 0;
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -1,6 +1,9 @@
-//! The node: the event loop that owns all state of a forwarder, that is, the delivery policy, the accepted
-//! messages and the write-ahead log. Connections, timers and signals report to it as [`NodeEvent`]s; it
-//! executes the actions of the policy in the order given. One iteration of the loop is called a round.
+//! The node: the main loop of a forwarder, which owns all its state, that is, the delivery policy, the accepted
+//! messages and the write-ahead log. Other tasks report to it by [`NodeEvent`]s; it executes the actions of
+//! the policy in the order given.
+//!
+//! One iteration of this loop is a round. A turn, by contrast, is one pass of the runtime's event loop over all
+//! tasks that are ready, of which the node is one.
 
 use crate::admin_server;
 use crate::admission::AdmissionLimiter;
@@ -57,7 +60,7 @@
 const MAX_PENDING_SEND_AGE: Micros = 50_000;
 /// Upper bound on the delay of a timer: the runtime's timers fire up to 2 ms late, by their own granularity
 /// and that of the system call that waits; the rest leaves time to write the result. A message that is handed
-/// back after its deadline, however shortly, counts as unanswered.
+/// back even slightly after its deadline counts as unanswered.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(3);
 /// How long startup waits for the first endpoint list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
@@ -95,8 +98,10 @@
     pending_send: Option<PendingSend>,
 }
 
-/// A message that ended undelivered. It is complete once discovery has acknowledged its notice.
+/// The notice of a message that ended undelivered. The message is completed once discovery has acknowledged
+/// the notice.
 struct PendingNotice {
+    /// Id that the client gave the message.
     id: String,
     order_key: u64,
     notice: NonDeliveryNotice,
@@ -111,12 +116,12 @@
     started: bool,
 }
 
-/// An endpoint that a list has named since the start of the process.
+/// An endpoint of the current list or of an earlier one.
 struct KnownEndpoint {
     address: SocketAddr,
     zone: u32,
-    /// Counts the changes of its state by operators (disabled, enabled): connections of an older generation
-    /// are not reused.
+    /// Connection generation: counts how often operators have disabled or enabled the endpoint. Connections of
+    /// an older generation are not reused.
     generation: u32,
 }
 
@@ -128,8 +133,9 @@
     write_ahead_log: WriteAheadLog,
     events: EventSender,
     discovery_address: watch::Sender<SocketAddr>,
+    /// Number of the next message. Numbers grow in the order of arrival.
     next_number: u64,
-    /// Messages that are accepted or may still be, by message number. Numbers grow in the order of arrival.
+    /// Messages that are accepted or may still be, by message number.
     messages: BTreeMap<u64, HeldMessage>,
     /// Messages submitted in this round whose clients still wait for a response.
     undecided: Vec<u64>,
@@ -147,19 +153,24 @@
     metrics: Metrics,
     disabled_endpoints: DisabledEndpoints,
     endpoint_list_cache: EndpointListCache,
-    /// Whether client connections are accepted.
+    /// Whether startup is complete, so that client connections are accepted.
     accepting: bool,
+    /// Target ids by endpoint name, and endpoints by target id.
     target_ids: HashMap<String, TargetId>,
     endpoints: Vec<KnownEndpoint>,
+    /// Due time and token of each timer of the policy.
     timers: BTreeSet<(Micros, u32)>,
     stage: watch::Sender<LifecycleStage>,
+    /// When the process was told to end.
     terminated_at: Option<Instant>,
     /// The lock of the write-ahead log and the listener for clients, which a successor takes over.
     lock: Option<LogLock>,
     listener: Option<OwnedFd>,
+    /// Connection of a process that has asked to take over in this round.
     successor: Option<UnixStream>,
     connection_limit: ConnectionLimit,
     overload: OverloadMonitor,
+    /// Actions that the policy has requested in this round.
     actions: Vec<Action>,
 }
 
@@ -239,6 +250,8 @@
 }
 
 impl Node {
+    /// Creates a node without messages and opens its files. Also returns the messages that the write-ahead log
+    /// contains.
     fn new(
         config: &Config, events: &EventSender, clock: Clock, policy: DeliveryPolicy,
     ) -> io::Result<(Node, BTreeMap<u64, RestoredMessage>)> {
@@ -390,7 +403,7 @@
         }
     }
 
-    /// Passes an endpoint list on to the policy, with target ids for its endpoints.
+    /// Passes an endpoint list on to the policy. New endpoints are assigned target ids.
     fn update_endpoints(&mut self, list: ServerList, kind: ListKind) {
         let index_of = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u32::MAX, |at| at as u32)
@@ -577,7 +590,7 @@
         self.start_pending_send(number);
     }
 
-    /// Discards a message that was not accepted in the end.
+    /// Discards a message that the policy has not refused but that could not be accepted.
     fn discard_unaccepted(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         self.metrics.record_result(held.message.class, MessageResult::Shed);
@@ -621,8 +634,8 @@
     }
 
     /// Starts a pending send unless it has to wait: either until the client's response has been written, or
-    /// until the notice of an earlier message with the same order key is acknowledged, as that message is not
-    /// complete before.
+    /// until the notice of an earlier message with the same order key is acknowledged, which completes that
+    /// message.
     fn start_pending_send(&mut self, number: u64) {
         let Some(held) =
             self.messages.get_mut(&number).filter(|held| matches!(held.acceptance, Acceptance::Accepted))
@@ -636,7 +649,7 @@
         let Some(PendingSend { attempt, target, until, decided_at }) = held.pending_send.take() else {
             return;
         };
-        // A decision this old may conflict with a drain or a retry-after received since: the policy decides
+        // A decision this old may conflict with a drain or a Retry-After received since: the policy decides
         // again.
         if self.clock.now() > decided_at + MAX_PENDING_SEND_AGE {
             return self.notify_outcome(number, attempt, target, Outcome::NotSent, false);
@@ -644,8 +657,8 @@
         self.start_call(number, attempt, target, until);
     }
 
-    /// Returns pending sends whose time is over to the policy. A send that waits for the acknowledgement of a
-    /// slow notice would otherwise have no outcome, and its message would never end.
+    /// Returns pending sends that have timed out to the policy. A send that waits for a notice to be
+    /// acknowledged could otherwise stay without an outcome, and its message would never end.
     fn expire_pending_sends(&mut self) {
         if self.pending_notices.is_empty() {
             return;
@@ -660,7 +673,8 @@
         }
     }
 
-    /// Records the start of an attempt before its first byte is sent: from then on it may have run.
+    /// Records the start of an attempt before its first byte is sent: from then on it may have run. Returns
+    /// whether that succeeded; the call must not be made otherwise.
     fn log_attempt_start(&mut self, number: u64, attempt: u32) -> bool {
         let Some(call) = self.calls.get_mut(&(number, attempt)) else { return false };
         let zone = self.endpoints[call.target as usize].zone;
@@ -703,6 +717,7 @@
         tokio::spawn(calls::make_call(call, cancelled, self.events.clone()));
     }
 
+    /// Tells the policy the outcome of an attempt for which no call was made.
     fn notify_outcome(
         &mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, message_ended: bool,
     ) {
@@ -755,8 +770,8 @@
         });
     }
 
-    /// Appends a record that a restart can do without. If it is missing, a restart assumes that an attempt
-    /// may have run where it did not.
+    /// Appends a record whose loss can be tolerated: an error is only logged. Without the record, a restart
+    /// assumes that an attempt may have run where it did not.
     fn append_record(&mut self, number: u64, record: &LogRecord) {
         if let Err(error) = self.write_ahead_log.append(number, record) {
             eprintln!("journal: {error}");
@@ -834,13 +849,13 @@
         let closing = self.terminated_at.is_some_and(|at| at.elapsed() >= ACCEPT_AFTER_TERMINATE);
         if closing && *self.stage.borrow() == LifecycleStage::Draining {
             self.stage.send_replace(LifecycleStage::Closing);
-            // While it is open, the kernel would queue connections that nobody accepts.
+            // While the listener is open, the kernel would queue connections that nobody accepts.
             self.listener = None;
         }
     }
 
-    /// Whether the process may exit: no message, call or notice is left, no client connection is open, and
-    /// none is waiting at a listener that no longer accepts.
+    /// Whether the process, once told to end, may exit: no message, call or notice is left, no client
+    /// connection is open or waits to be accepted, or [`TERMINATE_TIMEOUT`] has passed.
     fn may_exit(&self, accept_loop_ended: bool) -> bool {
         let Some(at) = self.terminated_at else { return false };
         let idle = self.calls.is_empty() && self.messages.is_empty() && self.pending_notices.is_empty();
@@ -848,6 +863,8 @@
         at.elapsed() >= TERMINATE_TIMEOUT || idle && at.elapsed() >= 2 * ACCEPT_AFTER_TERMINATE
     }
 
+    /// When the next round is due at the latest: at the next timer or step of the shutdown, or for the periodic
+    /// maintenance if there is neither.
     fn next_wake(&self) -> Instant {
         let timer = self.timers.first().map(|(at, _)| self.clock.instant_at(*at));
         let stop = self.terminated_at.map(|at| {
--- a/src/bin/foldtrack/node/takeover.rs
+++ b/src/bin/foldtrack/node/takeover.rs
@@ -1,4 +1,5 @@
-//! The part of the node in a hot restart: the state that the owner hands over, and how a successor continues from it.
+//! The node's part in a hot restart: exports the state that the owner hands over, and continues from it in the
+//! successor.
 
 use super::{
     Acceptance, HeldMessage, InFlightCall, KnownEndpoint, LifecycleStage, Node, PendingSend,
@@ -20,7 +21,7 @@
 use tokio::sync::oneshot;
 
 impl Node {
-    /// Continues where another process stops. On an error the other process stays the owner.
+    /// Takes over from the old process, which has offered its state. On an error the old process remains the owner.
     pub(super) fn take_over(
         config: &Config, events: &EventSender, offer: TakeoverOffer,
     ) -> io::Result<(Node, StdListener)> {
@@ -56,7 +57,7 @@
         let mut responding = BTreeSet::new();
         for MessageState { number, attempts, acknowledged, pending_send } in state.messages {
             let Some(restored_message) = restored.remove(&number) else {
-                // An error that was logged kept it out of the write-ahead log: it cannot be sent.
+                // Its record is missing in the write-ahead log, after an error that has been logged: it cannot be sent.
                 self.notify_policy(Event::Abandoned { id: number });
                 continue;
             };
@@ -84,7 +85,7 @@
         (state.calls.into_iter().map(inherited).collect(), responding)
     }
 
-    /// Offers everything to a successor. On an error this process is still the owner.
+    /// Offers the state, the listener and the lock to a successor. On an error this process remains the owner.
     pub(super) fn offer_takeover(&self, successor: &UnixStream) -> io::Result<()> {
         let (None, Some(listener), Some(lock)) = (self.terminated_at, &self.listener, &self.lock) else {
             return Err(io::Error::other("this process is terminating"));
@@ -122,8 +123,8 @@
         hot_restart::offer_takeover(successor, &state, listener, lock)
     }
 
-    /// What this process still has to do after the takeover. The lock and the write-ahead log belong to the
-    /// successor.
+    /// Keeps what this process needs to complete its work after the takeover. The lock and the write-ahead log now
+    /// belong to the successor.
     pub(super) fn into_draining_process(self) -> DrainingProcess {
         self.stage.send_replace(LifecycleStage::HandedOver);
         DrainingProcess {
--- a/src/bin/foldtrack/overload.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -1,5 +1,5 @@
-//! Detects overload by the lag of the event loop: how long its turns have taken recently. A turn is one pass
-//! of the event loop over all tasks that are ready.
+//! Detects overload by the lag of the runtime's event loop: how long its turns have taken recently. A turn is
+//! one pass of the event loop over all tasks that are ready.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 /// A turn longer than this counts as overload. A client waits 400 ms for its response, which takes four turns
 /// (accept, read, decide, write): with turns of twice this length it is too late.
 const LATE_TURN: Duration = Duration::from_millis(50);
-/// How long a late turn counts, and the time constant of the mean.
+/// How long overload lasts after a late turn, and the time constant of the mean turn time.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
 /// The measurements, behind the lock.
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Exponentially weighted: each turn counts by the time that it took, and time without turns counts as
-    /// turns of length zero.
+    /// Updates the mean turn time. It is exponentially weighted: each turn counts by the time that it took, and
+    /// time without turns counts as turns of length zero.
     fn update_mean(&mut self, took: Duration) {
         let now = Instant::now();
         let since = self.mean_updated_at.replace(now).map_or(OVERLOAD_WINDOW, |at| now - at);
@@ -52,7 +52,8 @@
     }
 }
 
-/// Shared by the node, which records the delays, and those who reduce their work under overload.
+/// Measures the turns of the event loop. Shared by the node, which records delays, and the server for clients,
+/// which reduces its work under overload.
 #[derive(Clone, Default)]
 pub(crate) struct OverloadMonitor(Arc<Mutex<State>>);
 
@@ -62,7 +63,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a turn came, or ended, this much too late.
+    /// Records by how much the node woke up late, or how long a round or a turn took.
     pub fn record_delay(&self, delay: Duration) {
         if delay > LATE_TURN {
             self.state().overloaded_until = Some(Instant::now() + OVERLOAD_WINDOW);
@@ -122,7 +123,7 @@
 
 #[cfg(test)]
 impl OverloadMonitor {
-    /// Overloaded for as long as any test runs.
+    /// A monitor that reports overload for longer than any test runs.
     pub fn always_overloaded() -> OverloadMonitor {
         let monitor = OverloadMonitor::default();
         monitor.state().overloaded_until = Some(Instant::now() + Duration::from_secs(3600));
--- a/src/bin/foldtrack/report_client.rs
+++ b/src/bin/foldtrack/report_client.rs
@@ -18,8 +18,8 @@
 use tokio::time::{sleep, timeout};
 
 /// A report without a response within this time is sent again on a new connection; the timeout doubles each time, up
-/// to the maximum. The agent of discovery responds at once, and a notice counts until 300 ms after the deadline of
-/// its message: if a connection is lost, the next one has to be made within that time.
+/// to the maximum. Discovery responds at once, and a notice counts until 300 ms after the deadline of its message: if a
+/// connection is lost, the next one has to be made within that time.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of reports in flight.
@@ -81,8 +81,8 @@
     idle_connection.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reports in flight. They are polled in the turn of the node itself, so that each is written in the turn in which it
-/// is decided.
+/// Reports in flight. They are polled by the node's own task, so that each is written in the turn in which it is
+/// decided.
 pub(crate) struct ReportClient {
     in_flight: Vec<Pin<Box<dyn Future<Output = Vec<u64>> + Send>>>,
     idle_connection: IdleConnection,
@@ -150,6 +150,7 @@
     }
 }
 
+/// Sends a report until it is acknowledged.
 async fn send_report(
     lines: Bytes, count: usize, idle_connection: IdleConnection,
     mut discovery_address: watch::Receiver<SocketAddr>,
--- a/src/bin/foldtrack/report_client_tests.rs
+++ b/src/bin/foldtrack/report_client_tests.rs
@@ -1,4 +1,5 @@
-//! The report client on a silent connection, on a kept connection, and when discovery moves to another address.
+//! Tests of the report client: on a silent connection, on a kept connection, and when discovery moves to another
+//! address.
 
 use super::*;
 use std::task::{Context, Waker};
--- a/src/bin/foldtrack/write_ahead_log.rs
+++ b/src/bin/foldtrack/write_ahead_log.rs
@@ -13,11 +13,11 @@
 const HEADER_BYTES: usize = 10;
 /// Longest content of a frame: a body of 64 KiB and its headers.
 const MAX_CONTENT_BYTES: usize = 256 * 1024;
-/// Space between two compactions at the least; it also covers files that take up whole blocks.
+/// Minimum space for new records between two compactions; it also covers the rounding of file sizes to whole blocks.
 const SLACK_BYTES: u64 = 16 * 1024;
-/// A file longer by this than twice its live frames is compacted, however much space is left.
+/// A file that exceeds twice the size of its live frames by more than this is compacted, even if there is space left.
 const MAX_STALE_BYTES: u64 = 1 << 20;
-/// Upper bounds of the size of the two records of an attempt together, and of the record of a notice.
+/// Upper bounds on the size of the two records of an attempt together, and of the record of a notice.
 const ATTEMPT_BYTES: u64 = 64;
 const NOTICE_BYTES: u64 = 64;
 
@@ -31,7 +31,7 @@
 /// How a message ended undelivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum NonDeliveryNotice {
-    /// Failed; nothing is promised about its effect.
+    /// Failed; it may or may not have taken effect.
     GivenUp,
     /// Refused; it may be submitted again after this wait.
     HandedBack { retry_in_ms: u64 },
@@ -51,7 +51,7 @@
     pub body: Vec<u8>,
 }
 
-/// What a record says of its message.
+/// Content of a record: one step in the processing of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum LogRecord {
     Accepted(AcceptedMessage),
@@ -95,7 +95,7 @@
     live_bytes: u64,
     /// Bytes that the old and the new file may take up together during a compaction.
     capacity: u64,
-    /// Bytes that a message may still append.
+    /// Upper bound on the size of all further records of an accepted message.
     reserve_per_message: u64,
 }
 
@@ -106,7 +106,7 @@
         directory: &Path, capacity: u64, max_attempts: u32,
     ) -> io::Result<(WriteAheadLog, BTreeMap<u64, RestoredMessage>)> {
         let path = directory.join("journal");
-        // Left over from a compaction that the process did not live to finish.
+        // Left over from a compaction that the end of the process interrupted.
         let _ = fs::remove_file(path.with_extension("new"));
         let file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
         let bytes = fs::read(&path)?;
@@ -177,7 +177,7 @@
             self.compact()?;
         }
         if let Err(error) = self.file.write_all(&frame) {
-            // A partly written frame would stand between the records that follow.
+            // Removes a partly written frame, so that the next record follows a complete one.
             let _ = self.file.set_len(self.length);
             return Err(error);
         }
