--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -89,7 +89,7 @@
 }
 
 /// A command of the owner to the old process.
-enum Command {
+enum OwnerCommand {
     Cancel { number: u64, attempt: u32 },
     Respond { request: u64, response: SubmitResponse },
 }
@@ -108,7 +108,7 @@
             let command_sender = command_sender.clone();
             tokio::spawn(async move {
                 if cancelled.await.is_ok() {
-                    let _ = command_sender.send(Command::Cancel { number, attempt });
+                    let _ = command_sender.send(OwnerCommand::Cancel { number, attempt });
                 }
             });
         }
@@ -126,13 +126,13 @@
                 biased;
                 Some(command) = commands.recv() => {
                     let frame = match command {
-                        Command::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
-                        Command::Respond { request, response: SubmitResponse::Accepted(guard) } => {
+                        OwnerCommand::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
+                        OwnerCommand::Respond { request, response: SubmitResponse::Accepted(guard) } => {
                             let number = guard.number();
                             response_guards.insert(number, guard);
                             OwnerFrame::Accepted { request, number }
                         }
-                        Command::Respond { request, response: SubmitResponse::Refused { retry_in_ms } } =>
+                        OwnerCommand::Respond { request, response: SubmitResponse::Refused { retry_in_ms } } =>
                             OwnerFrame::Refused { request, retry_in_ms },
                     };
                     // If the old process has ended, the end of its frames reports that.
@@ -175,7 +175,7 @@
                         let command_sender = command_sender.clone();
                         tokio::spawn(async move {
                             if let Ok(response) = response.await {
-                                let _ = command_sender.send(Command::Respond { request, response });
+                                let _ = command_sender.send(OwnerCommand::Respond { request, response });
                             }
                         });
                     }
--- a/src/bin/foldtrack/overload.rs
+++ b/src/bin/foldtrack/overload.rs
@@ -12,9 +12,9 @@
 /// How long overload lasts after a late turn, and the time constant of the mean turn time.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-/// The measurements, behind the lock.
+/// What is known of recent turns.
 #[derive(Default)]
-struct State {
+struct TurnMeasurements {
     /// End of the overload caused by the last late turn.
     overloaded_until: Option<Instant>,
     /// Start of the turn that is being measured.
@@ -29,7 +29,7 @@
     mean_updated_at: Option<Instant>,
 }
 
-impl State {
+impl TurnMeasurements {
     /// Starts a new window if the current one is over.
     fn rotate_windows(&mut self) {
         let now = Instant::now();
@@ -55,10 +55,10 @@
 /// Measures the turns of the event loop. Shared by the node, which records delays, and the server for clients,
 /// which reduces its work under overload.
 #[derive(Clone, Default)]
-pub(crate) struct OverloadMonitor(Arc<Mutex<State>>);
+pub(crate) struct OverloadMonitor(Arc<Mutex<TurnMeasurements>>);
 
 impl OverloadMonitor {
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, TurnMeasurements> {
         // A panic elsewhere loses at most a late turn.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
