--- a/src/bin/foldtrack/hot_restart.rs
+++ b/src/bin/foldtrack/hot_restart.rs
@@ -278,7 +278,7 @@
             match timeout(EXCHANGE_TIMEOUT, read_format).await {
                 Ok(Ok(successor_format)) if successor_format == format => match stream.into_std() {
                     Ok(stream) => events.send(NodeEvent::Successor(stream)),
-                    Err(error) => eprintln!("upgrade: {error}"),
+                    Err(error) => eprintln!("upgrade: cannot use the connection of a successor: {error}"),
                 },
                 Ok(Ok(successor_format)) => {
                     eprintln!(
@@ -287,7 +287,7 @@
                     );
                     events.send(NodeEvent::Terminate);
                 }
-                Ok(Err(error)) => eprintln!("upgrade: {error}"),
+                Ok(Err(error)) => eprintln!("upgrade: cannot read the state format of a successor: {error}"),
                 Err(_) => eprintln!("upgrade: timed out waiting for the state format of a successor"),
             }
         }
--- a/src/bin/foldtrack/node.rs
+++ b/src/bin/foldtrack/node.rs
@@ -774,7 +774,7 @@
     /// assumes that an attempt may have run where it did not.
     fn append_record(&mut self, number: u64, record: &LogRecord) {
         if let Err(error) = self.write_ahead_log.append(number, record) {
-            eprintln!("journal: {error}");
+            eprintln!("journal: cannot write a record: {error}");
         }
     }
 
