--- a/src/bin/foldtrack/draining.rs
+++ b/src/bin/foldtrack/draining.rs
@@ -1,5 +1,5 @@
-//! Draining after a hot restart: the old process completes its calls and serves its client connections, and the new
-//! owner of the write-ahead log decides on their messages. The two exchange frames until the old process ends.
+//! Draining after a hot restart: the old process completes its calls and serves its client connections, while the new
+//! owner of the write-ahead log decides about their messages. The two exchange frames until the old process ends.
 
 use crate::clock::Clock;
 use crate::connection_limit::ConnectionLimit;
@@ -27,7 +27,7 @@
 use tokio::sync::{oneshot, watch, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Time for the frames of an ending process to be written.
+/// Time limit for writing the last frames when the old process ends.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How often a draining process checks whether it has anything left to do.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -42,7 +42,7 @@
 
 /// A frame from the old process to the owner.
 #[derive(Debug, Serialize, Deserialize)]
-enum PredecessorFrame {
+enum OldProcessFrame {
     CallEnded {
         number: u64,
         attempt: u32,
@@ -76,8 +76,8 @@
 /// A call of the old process: message number, attempt, target, and the receiver of its cancellation.
 pub(crate) type InheritedCall = (u64, u32, TargetId, oneshot::Receiver<()>);
 
-/// The link of the owner to the process that it took over from.
-pub(crate) struct PredecessorLink {
+/// The owner's link to the old process, from which it has taken over.
+pub(crate) struct OldProcessLink {
     pub events: EventSender,
     pub settings: Arc<DeploymentSettings>,
     pub calls: Vec<InheritedCall>,
@@ -89,19 +89,18 @@
 }
 
 /// A command of the owner to the old process.
-enum Command {
+enum OwnerCommand {
     Cancel { number: u64, attempt: u32 },
     Respond { request: u64, response: SubmitResponse },
 }
 
-impl PredecessorLink {
-    /// Passes the frames of the old process on to the node until that process has ended. Whatever it leaves
-    /// unfinished is then ended here: its calls may have run, and clients may have been told that their messages are
-    /// accepted.
+impl OldProcessLink {
+    /// Passes the frames of the old process on to the node until that process has ended. Then reports the end of what
+    /// it has left unfinished: its calls may have run, and clients may have been told that their messages are accepted.
     pub async fn run(self, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let (mut reader, mut writer) = tokio::net::UnixStream::from_std(stream)?.into_split();
-        let PredecessorLink { events, settings, calls, mut responding, reserved_connections, clock } = self;
+        let OldProcessLink { events, settings, calls, mut responding, reserved_connections, clock } = self;
         let (command_sender, mut commands) = mpsc::unbounded_channel();
         let mut open_calls: BTreeMap<(u64, u32), TargetId> = BTreeMap::new();
         for (number, attempt, target, cancelled) in calls {
@@ -109,14 +108,14 @@
             let command_sender = command_sender.clone();
             tokio::spawn(async move {
                 if cancelled.await.is_ok() {
-                    let _ = command_sender.send(Command::Cancel { number, attempt });
+                    let _ = command_sender.send(OwnerCommand::Cancel { number, attempt });
                 }
             });
         }
         let mut response_guards: BTreeMap<u64, ResponseGuard> = BTreeMap::new();
         let (frames, mut received) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            while let Ok(frame) = read_frame::<PredecessorFrame>(&mut reader).await {
+            while let Ok(frame) = read_frame::<OldProcessFrame>(&mut reader).await {
                 if frames.send(frame).is_err() {
                     return;
                 }
@@ -127,20 +126,20 @@
                 biased;
                 Some(command) = commands.recv() => {
                     let frame = match command {
-                        Command::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
-                        Command::Respond { request, response: SubmitResponse::Accepted(guard) } => {
+                        OwnerCommand::Cancel { number, attempt } => OwnerFrame::Cancel { number, attempt },
+                        OwnerCommand::Respond { request, response: SubmitResponse::Accepted(guard) } => {
                             let number = guard.number();
                             response_guards.insert(number, guard);
                             OwnerFrame::Accepted { request, number }
                         }
-                        Command::Respond { request, response: SubmitResponse::Refused { retry_in_ms } } =>
+                        OwnerCommand::Respond { request, response: SubmitResponse::Refused { retry_in_ms } } =>
                             OwnerFrame::Refused { request, retry_in_ms },
                     };
-                    // If the old process has ended, its side of the stream is closed too.
-                    let _ = write_to(&mut writer, &frame).await;
+                    // If the old process has ended, the end of its frames reports that.
+                    let _ = write_frame(&mut writer, &frame).await;
                 }
                 frame = received.recv() => match frame {
-                    Some(PredecessorFrame::CallEnded {
+                    Some(OldProcessFrame::CallEnded {
                         number,
                         attempt,
                         target,
@@ -161,7 +160,7 @@
                             ..CallEnd::new(number, attempt, target, outcome, completes_message)
                         }));
                     }
-                    Some(PredecessorFrame::ResponseEnded { number, written }) =>
+                    Some(OldProcessFrame::ResponseEnded { number, written }) =>
                         match response_guards.remove(&number) {
                             Some(mut guard) => guard.written = written,
                             None => {
@@ -169,14 +168,14 @@
                                 events.send(NodeEvent::ResponseEnded { number, written });
                             }
                         },
-                    Some(PredecessorFrame::Submit { request, accepted }) => {
+                    Some(OldProcessFrame::Submit { request, accepted }) => {
                         let message = Message::from_accepted(accepted, &settings, &clock);
                         let (reply, response) = oneshot::channel();
                         events.send(NodeEvent::Submit { message: Arc::new(message), reply });
                         let command_sender = command_sender.clone();
                         tokio::spawn(async move {
                             if let Ok(response) = response.await {
-                                let _ = command_sender.send(Command::Respond { request, response });
+                                let _ = command_sender.send(OwnerCommand::Respond { request, response });
                             }
                         });
                     }
@@ -197,7 +196,7 @@
     }
 }
 
-async fn write_to(writer: &mut OwnedWriteHalf, content: &impl Serialize) -> io::Result<()> {
+async fn write_frame(writer: &mut OwnedWriteHalf, content: &impl Serialize) -> io::Result<()> {
     writer.write_all(&encode_frame(content)?).await
 }
 
@@ -212,7 +211,8 @@
     pub clock: Clock,
     pub stage: watch::Sender<LifecycleStage>,
     pub connection_limit: ConnectionLimit,
-    /// After a signal to terminate: when idle connections close, and by when the process has ended.
+    /// After a signal to terminate: how long until idle connections are closed, and until the process exits at the
+    /// latest.
     pub close_idle_after: Duration,
     pub exit_within: Duration,
 }
@@ -241,10 +241,10 @@
                 }
             }
         });
-        let (frame_sender, mut outgoing) = mpsc::unbounded_channel::<PredecessorFrame>();
+        let (frame_sender, mut outgoing) = mpsc::unbounded_channel::<OldProcessFrame>();
         let writer_task = tokio::spawn(async move {
             while let Some(frame) = outgoing.recv().await {
-                if write_to(&mut writer, &frame).await.is_err() {
+                if write_frame(&mut writer, &frame).await.is_err() {
                     return;
                 }
             }
@@ -262,14 +262,14 @@
                         replies.insert(last_request, reply);
                         let accepted = message.to_accepted(&self.settings, &self.clock);
                         let _ = frame_sender
-                            .send(PredecessorFrame::Submit { request: last_request, accepted });
+                            .send(OldProcessFrame::Submit { request: last_request, accepted });
                     }
                     NodeEvent::Terminate => terminated_at = terminated_at.or(Some(Instant::now())),
                     NodeEvent::CallEnded(end) => {
                         calls.remove(&(end.number, end.attempt));
                         let _ = frame_sender.send(call_ended_frame(end));
                     }
-                    other => self.forward(other, &frame_sender),
+                    other => self.handle_event(other, &frame_sender),
                 },
                 frame = received.recv() => match frame {
                     Some(OwnerFrame::Cancel { number, attempt }) => {
@@ -278,7 +278,7 @@
                         let _ = cancel.map(|cancel| cancel.send(()));
                     }
                     Some(OwnerFrame::Accepted { request, number }) => {
-                        // If the client has gone, the guard is dropped here, which reports it.
+                        // If the client has disconnected, the guard is dropped here and reports that.
                         let response =
                             SubmitResponse::Accepted(ResponseGuard::new(number, self.events.clone()));
                         let _ = replies.remove(&request).map(|reply| reply.send(response));
@@ -310,11 +310,12 @@
         Ok(reason)
     }
 
-    fn forward(&mut self, event: NodeEvent, frame_sender: &UnboundedSender<PredecessorFrame>) {
-        // If the successor has ended, `run` notices it when it reads the next frame.
+    /// Handles an event that [`DrainingProcess::run`] does not handle itself.
+    fn handle_event(&mut self, event: NodeEvent, frame_sender: &UnboundedSender<OldProcessFrame>) {
+        // If the successor has ended, `run` notices that by the end of its frames.
         match event {
             NodeEvent::ResponseEnded { number, written } => {
-                let _ = frame_sender.send(PredecessorFrame::ResponseEnded { number, written });
+                let _ = frame_sender.send(OldProcessFrame::ResponseEnded { number, written });
             }
             NodeEvent::MessageWritten { class } => self.metrics.record_attempt(class),
             NodeEvent::RefusedLate { class } => self.metrics.record_result(class, MessageResult::Shed),
@@ -328,15 +329,15 @@
                     }
                 });
             }
-            // The successor itself watches the endpoint list, sends the notices and reads the configuration.
+            // The successor watches the endpoint list, sends the notices and reads the configuration.
             _ => {}
         }
     }
 }
 
-/// The frame for the end of a call. The connection of the call is closed.
-fn call_ended_frame(end: CallEnd) -> PredecessorFrame {
-    PredecessorFrame::CallEnded {
+/// The frame that reports the end of a call. The connection of the call is dropped, which closes it.
+fn call_ended_frame(end: CallEnd) -> OldProcessFrame {
+    OldProcessFrame::CallEnded {
         number: end.number,
         attempt: end.attempt,
         target: end.target,
@@ -355,8 +356,8 @@
     use crate::events;
     use serde_json::json;
 
-    /// Guards against uncounted refusals: a client that the old process refused for lack of time has its response
-    /// from it, so the successor does not count that message.
+    /// Guards against uncounted refusals: the old process itself refuses a request that has waited too long, so the
+    /// successor does not count it.
     #[test]
     fn a_draining_process_counts_its_refusals() {
         let classes = json!([{"name": "note", "aim": 1, "deadline": 2}]);
@@ -374,7 +375,7 @@
             close_idle_after: Duration::ZERO,
             exit_within: Duration::ZERO,
         };
-        process.forward(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
+        process.handle_event(NodeEvent::RefusedLate { class: 0 }, &mpsc::unbounded_channel().0);
         let text = process.metrics.render(0, process.endpoint_counts);
         assert!(text.contains("responses.note.shed=1"), "{text}");
     }
