--- a/scale/tests/all.rs
+++ b/scale/tests/all.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{records, Folder};
+use common::{records, TestDirectory};
 
 const POLICY: &str = include_str!("common/small_policy.toml");
 const DISCOVERY: &str = include_str!("common/small_discovery.toml");
@@ -10,7 +10,7 @@
 
 #[test]
 fn the_experiments_run_in_turn_and_each_writes_its_records() {
-    let directory = Folder::with_scenario(POLICY);
+    let directory = TestDirectory::with_scenario(POLICY);
     directory.write("policy.toml", POLICY);
     directory.write("discovery.toml", DISCOVERY);
     directory.write("fleet.toml", FLEET);
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_invalid_scenario_stops_the_run_and_is_reported() {
-    let directory = Folder::with_scenario(POLICY);
+    let directory = TestDirectory::with_scenario(POLICY);
     directory.write("policy.toml", &POLICY.replacen("seed = 7", "sede = 7", 1));
     let output = directory.scale(&["all", "--scenarios", "."]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
--- a/scale/tests/common/mod.rs
+++ b/scale/tests/common/mod.rs
@@ -13,13 +13,13 @@
 const SCENARIO_NAME: &str = "small.toml";
 
 /// A temporary directory with a scenario file.
-pub struct Folder {
+pub struct TestDirectory {
     directory: TempDir,
 }
 
-impl Folder {
-    pub fn with_scenario(text: &str) -> Folder {
-        let directory = Folder { directory: tempfile::tempdir().unwrap() };
+impl TestDirectory {
+    pub fn with_scenario(text: &str) -> TestDirectory {
+        let directory = TestDirectory { directory: tempfile::tempdir().unwrap() };
         directory.write(SCENARIO_NAME, text);
         directory
     }
@@ -74,12 +74,12 @@
     text.lines().map(|line| serde_json::from_str(line).expect(line)).collect()
 }
 
-pub fn of_kind<'a>(records: &'a [Value], kind: &str) -> Vec<&'a Value> {
-    records.iter().filter(|record| record["record"] == kind).collect()
+pub fn records_of_type<'a>(records: &'a [Value], record_type: &str) -> Vec<&'a Value> {
+    records.iter().filter(|record| record["record"] == record_type).collect()
 }
 
 /// Runs the command with input that it must reject. Returns the only line on standard error.
-pub fn rejection(directory: &Folder, arguments: &[&str]) -> String {
+pub fn rejection_message(directory: &TestDirectory, arguments: &[&str]) -> String {
     let output = directory.scale(arguments);
     assert_eq!(output.status.code(), Some(STATUS_BAD_INPUT), "{output:?}");
     assert!(output.stdout.is_empty(), "{output:?}");
@@ -89,13 +89,13 @@
 }
 
 /// A line of a scenario, its invalid replacement, the number of the line, its key, and a part of the error message.
-pub type WrongLine = (&'static str, &'static str, usize, &'static str, &'static str);
+pub type InvalidLine = (&'static str, &'static str, usize, &'static str, &'static str);
 
 /// Checks that each invalid line is reported with file, line and key.
-pub fn assert_wrong_lines_are_reported(scenario: &str, arguments: &[&str], invalid_lines: &[WrongLine]) {
+pub fn assert_invalid_lines_are_reported(scenario: &str, arguments: &[&str], invalid_lines: &[InvalidLine]) {
     for (valid, invalid, line, key, reason) in invalid_lines {
-        let directory = Folder::with_scenario(&scenario.replacen(valid, invalid, 1));
-        let error = rejection(&directory, arguments);
+        let directory = TestDirectory::with_scenario(&scenario.replacen(valid, invalid, 1));
+        let error = rejection_message(&directory, arguments);
         let prefix = format!("scale: {SCENARIO_NAME}:{line}: {key}: ");
         assert!(error.starts_with(&prefix) && error.contains(reason), "{invalid}: {error}");
     }
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -2,7 +2,10 @@
 
 mod common;
 
-use common::{assert_wrong_lines_are_reported, of_kind, records, Folder, WrongLine, STATUS_INTERRUPTED};
+use common::{
+    assert_invalid_lines_are_reported, records, records_of_type, InvalidLine, TestDirectory,
+    STATUS_INTERRUPTED,
+};
 use serde_json::Value;
 
 /// A scenario that runs quickly.
@@ -12,7 +15,7 @@
 
 /// Runs a scenario with additional arguments. Returns the records of its points.
 fn run_scenario(scenario: &str, arguments: &[&str]) -> Vec<Value> {
-    let directory = Folder::with_scenario(scenario);
+    let directory = TestDirectory::with_scenario(scenario);
     let output = directory.scale(&[&ARGUMENTS[..], arguments].concat());
     assert!(output.status.success(), "{output:?}");
     records(&directory.read("out.jsonl"))
@@ -25,7 +28,7 @@
 
 #[test]
 fn a_small_run_prints_a_table_per_case_and_writes_a_record_per_point() {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     let output = directory.scale(&ARGUMENTS);
     assert!(output.status.success(), "{output:?}");
     assert!(output.stderr.is_empty(), "{output:?}");
@@ -34,7 +37,7 @@
         assert!(printed.lines().any(|line| line == title), "{title}: {printed}");
     }
     let records = records(&directory.read("out.jsonl"));
-    let points = of_kind(&records, "point");
+    let points = records_of_type(&records, "point");
     let actual: Vec<_> = points.iter().map(|point| (&point["case"], &point["instances"])).collect();
     let expected: Vec<(Value, Value)> =
         CASES.into_iter().flat_map(|case| [8, 40].map(|count| (case.into(), count.into()))).collect();
@@ -95,7 +98,7 @@
     assert_eq!(number(&points[0], "/in_force_after_6_seconds_percent"), 0.0);
 }
 
-const INVALID_LINES: [WrongLine; 6] = [
+const INVALID_LINES: [InvalidLine; 6] = [
     ("zones = 4", "zone = 4", 4, "zone", "unknown field"),
     ("listed = 60", "listed = 0", 3, "listed", "0 is out of range, 1 to 1000000"),
     ("\"on_request\"", "\"pulled\"", 5, "mode", "unknown variant"),
@@ -106,12 +109,12 @@
 
 #[test]
 fn an_invalid_scenario_is_reported_on_one_line_with_file_line_and_key() {
-    assert_wrong_lines_are_reported(SCENARIO, &ARGUMENTS, &INVALID_LINES);
+    assert_invalid_lines_are_reported(SCENARIO, &ARGUMENTS, &INVALID_LINES);
 }
 
 #[test]
 fn an_interrupt_keeps_completed_points() {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     // The second point takes much longer than the interrupt.
     let arguments = [&ARGUMENTS[..], &["--cases", "steady_changes", "--instances", "8,5000"]].concat();
     let output = directory.scale_interrupted_after(&arguments, "point measured");
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -2,7 +2,10 @@
 
 mod common;
 
-use common::{assert_wrong_lines_are_reported, of_kind, records, Folder, WrongLine, STATUS_INTERRUPTED};
+use common::{
+    assert_invalid_lines_are_reported, records, records_of_type, InvalidLine, TestDirectory,
+    STATUS_INTERRUPTED,
+};
 use serde_json::Value;
 
 /// Small scenario: two fleet sizes and 100 s of virtual time.
@@ -12,12 +15,12 @@
 const ALLOWED_CALLS_WHEN_WARM: f64 = 29.42;
 
 /// Runs the small scenario and returns its records.
-fn points(folder: &Folder, arguments: &[&str]) -> Vec<Value> {
+fn points(directory: &TestDirectory, arguments: &[&str]) -> Vec<Value> {
     let run = ["fleet", "--scenario", "small.toml", "--json", "out.jsonl"];
-    let output = folder.scale(&[&run[..], arguments].concat());
+    let output = directory.scale(&[&run[..], arguments].concat());
     assert!(output.status.success(), "{output:?}");
     assert!(output.stderr.is_empty(), "{output:?}");
-    records(&folder.read("out.jsonl"))
+    records(&directory.read("out.jsonl"))
 }
 
 /// The records without the command line, which differs between invocations.
@@ -36,17 +39,17 @@
 }
 
 #[test]
-fn a_run_prints_tables_and_writes_one_record_per_point() {
-    let folder = Folder::with_scenario(SCENARIO);
-    let output = folder.scale(&["fleet", "--scenario", "small.toml"]);
+fn a_small_run_prints_tables_and_writes_a_record_per_point() {
+    let directory = TestDirectory::with_scenario(SCENARIO);
+    let output = directory.scale(&["fleet", "--scenario", "small.toml"]);
     assert!(output.status.success(), "{output:?}");
     let printed = String::from_utf8(output.stdout).unwrap();
     for title in ["steady traffic", "calls refused", "calls silent", "only the events of 3 sampled"] {
         assert!(printed.contains(title), "{title}: {printed}");
     }
-    let points = points(&folder, &[]);
+    let points = points(&directory, &[]);
     let keys: Vec<_> =
-        of_kind(&points, "point").iter().map(|point| [&point["replicas"], &point["case"]]).collect();
+        records_of_type(&points, "point").iter().map(|point| [&point["replicas"], &point["case"]]).collect();
     let expected: [[Value; 2]; 4] = [
         [2.into(), "refused".into()],
         [10.into(), "refused".into()],
@@ -63,17 +66,17 @@
 
 #[test]
 fn the_same_seed_gives_the_same_results_on_any_number_of_threads() {
-    let folder = Folder::with_scenario(SCENARIO);
-    let first = without_command_line(points(&folder, &["--seed", "11", "--threads", "1"]));
+    let directory = TestDirectory::with_scenario(SCENARIO);
+    let first = without_command_line(points(&directory, &["--seed", "11", "--threads", "1"]));
     assert_eq!(first.len(), 4);
-    assert_eq!(first, without_command_line(points(&folder, &["--seed", "11", "--threads", "4"])));
-    assert_ne!(first, without_command_line(points(&folder, &["--seed", "12"])));
+    assert_eq!(first, without_command_line(points(&directory, &["--seed", "11", "--threads", "4"])));
+    assert_ne!(first, without_command_line(points(&directory, &["--seed", "12"])));
 }
 
 #[test]
 fn learned_responses_match_the_traffic() {
-    let folder = Folder::with_scenario(SCENARIO);
-    let points = points(&folder, &["--cases", "refused"]);
+    let directory = TestDirectory::with_scenario(SCENARIO);
+    let points = points(&directory, &["--cases", "refused"]);
     // A destination gets 1.5 messages per second: 90 in the steady phase, spread over two or ten replicas.
     for (point, responses) in points.iter().zip([45.0, 9.0]) {
         number_in(point, "/steady/pairs_met_share", 0.9, 1.0);
@@ -88,8 +91,8 @@
 
 #[test]
 fn small_fleets_load_a_cold_destination_within_bounds() {
-    let folder = Folder::with_scenario(SCENARIO);
-    for point in points(&folder, &[]) {
+    let directory = TestDirectory::with_scenario(SCENARIO);
+    for point in points(&directory, &[]) {
         for window in ["worst_window", "worst_window_of_any"] {
             let key = |path: &str| format!("/outage/{window}/{path}");
             let allowed_calls =
@@ -115,13 +118,13 @@
 
 #[test]
 fn command_line_sizes_and_cases_override_the_scenario() {
-    let folder = Folder::with_scenario(SCENARIO);
-    let points = points(&folder, &["--sizes", "1,3", "--cases", "silent"]);
+    let directory = TestDirectory::with_scenario(SCENARIO);
+    let points = points(&directory, &["--sizes", "1,3", "--cases", "silent"]);
     let keys: Vec<_> = points.iter().map(|point| (&point["replicas"], &point["case"])).collect();
     assert_eq!(keys, [(&1.into(), &"silent".into()), (&3.into(), &"silent".into())]);
 }
 
-const WRONG_LINES: [WrongLine; 4] = [
+const INVALID_LINES: [InvalidLine; 4] = [
     ("sizes = [2, 10]", "sizes = [2, 0]", 2, "sizes[1]", "0 is out of range, 1 to 100000"),
     ("worth = 1.0", "worth = 1.5", 11, "policy.class.worth", "1.5 is out of range, 0 to 1"),
     ("outage_s = 10", "outage = 10", 26, "phases.outage", "unknown field"),
@@ -129,19 +132,19 @@
 ];
 
 #[test]
-fn scenario_errors_name_file_line_and_key() {
-    assert_wrong_lines_are_reported(SCENARIO, &["fleet", "--scenario", "small.toml"], &WRONG_LINES);
+fn an_invalid_scenario_is_reported_on_one_line_with_file_line_and_key() {
+    assert_invalid_lines_are_reported(SCENARIO, &["fleet", "--scenario", "small.toml"], &INVALID_LINES);
 }
 
 #[test]
 fn an_interrupt_keeps_completed_points() {
-    let folder = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     // More points than can complete before the interrupt.
     let sizes = vec!["2"; 2_000].join(",");
     let arguments = ["fleet", "--scenario", "small.toml", "--sizes", &sizes, "--json", "out.jsonl"];
-    let output = folder.scale_interrupted_after(&arguments, "point simulated");
+    let output = directory.scale_interrupted_after(&arguments, "point simulated");
     assert_eq!(output.status.code(), Some(STATUS_INTERRUPTED), "{output:?}");
     assert!(String::from_utf8(output.stdout).unwrap().contains("steady traffic"));
-    assert!(!of_kind(&records(&folder.read("out.jsonl")), "point").is_empty());
-    assert_eq!(folder.names(), ["out.jsonl", "small.toml"]);
+    assert!(!records_of_type(&records(&directory.read("out.jsonl")), "point").is_empty());
+    assert_eq!(directory.names(), ["out.jsonl", "small.toml"]);
 }
--- a/scale/tests/instance.rs
+++ b/scale/tests/instance.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{of_kind, records, rejection, Folder, STATUS_INTERRUPTED};
+use common::{records, records_of_type, rejection_message, TestDirectory, STATUS_INTERRUPTED};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -57,7 +57,7 @@
 
 /// Runs one point that the forwarder does not support. Returns its only record and its line of output.
 fn run_unsupported_point(additional: &[&str]) -> (Value, String) {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     let output = directory.scale(&arguments(additional));
     assert!(output.status.success(), "{output:?}");
     let printed = String::from_utf8(output.stdout).unwrap();
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_small_run_prints_tables_and_writes_a_record_per_point() {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     let output = directory.scale(&arguments(&[]));
     assert!(output.status.success(), "{output:?}");
     assert!(output.stderr.is_empty(), "{output:?}");
@@ -78,7 +78,7 @@
         assert!(printed.contains(title), "{title}: {printed}");
     }
     let records = records(&directory.read("out.jsonl"));
-    let points = of_kind(&records, "point");
+    let points = records_of_type(&records, "point");
     let sizes: Vec<_> =
         points.iter().map(|point| [&point["listed"], &point["held"], &point["processes"]]).collect();
     assert_eq!(sizes, [[10, 0, 1], [30, 0, 1], [10, 3, 1], [10, 0, 2]]);
@@ -94,7 +94,7 @@
         }
         assert!(point["idle_microseconds_per_second"]["median"].as_f64().unwrap() >= 0.0);
     }
-    let slopes = of_kind(&records, "slope");
+    let slopes = records_of_type(&records, "slope");
     assert_eq!(slopes.len(), 1, "only one series has two points");
     assert_eq!((&slopes[0]["series"], &slopes[0]["runs"]), (&"listed".into(), &5.into()));
 }
@@ -111,7 +111,7 @@
 /// Each process requests the list once: together more often than one forwarder may before its list is unsupported.
 #[test]
 fn many_processes_load_the_same_list() {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     let output = directory.scale(&arguments(&["--series", "processes", "--processes", "30", "--runs", "1"]));
     assert!(output.status.success(), "{output:?}");
     let records = records(&directory.read("out.jsonl"));
@@ -129,7 +129,7 @@
 
 #[test]
 fn an_interrupt_keeps_completed_points_and_stops_the_forwarders() {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     // A separate path identifies the processes of this test. It is a hard link, because running a copy may fail: a
     // child process of another test may have inherited the file descriptor that the copy was written with.
     let own_directory = tempfile::tempdir_in(forwarder_binary().parent().unwrap()).unwrap();
@@ -140,7 +140,7 @@
     let output = directory.scale_interrupted_after(&arguments, "run measured");
     assert_eq!(output.status.code(), Some(STATUS_INTERRUPTED), "{output:?}");
     assert!(String::from_utf8(output.stdout).unwrap().contains("by processes"));
-    assert_eq!(of_kind(&records(&directory.read("out.jsonl")), "point").len(), 1);
+    assert_eq!(records_of_type(&records(&directory.read("out.jsonl")), "point").len(), 1);
     assert_eq!(directory.names(), ["out.jsonl", "small.toml"]);
     assert_eq!(count_processes(&binary), 0);
 }
@@ -163,8 +163,8 @@
 #[test]
 fn an_invalid_scenario_is_reported_on_one_line_with_file_line_and_key() {
     for (valid, invalid, line, key, reason) in INVALID_LINES {
-        let directory = Folder::with_scenario(&SCENARIO.replacen(valid, invalid, 1));
-        let error = rejection(&directory, &arguments(&[]));
+        let directory = TestDirectory::with_scenario(&SCENARIO.replacen(valid, invalid, 1));
+        let error = rejection_message(&directory, &arguments(&[]));
         let prefix = format!("scale: small.toml:{line}: {key}: ");
         assert!(error.starts_with(&prefix) && error.contains(reason), "{invalid}: {error}");
     }
@@ -172,14 +172,15 @@
 
 #[test]
 fn a_missing_binary_is_reported() {
-    let directory = Folder::with_scenario(SCENARIO);
-    let error = rejection(&directory, &["instance", "--scenario", "small.toml", "--binary", "absent"]);
+    let directory = TestDirectory::with_scenario(SCENARIO);
+    let error =
+        rejection_message(&directory, &["instance", "--scenario", "small.toml", "--binary", "absent"]);
     assert!(error.starts_with("scale: --binary: absent: "), "{error}");
 }
 
 #[test]
 fn a_forwarder_that_exits_fails_the_run() {
-    let directory = Folder::with_scenario(SCENARIO);
+    let directory = TestDirectory::with_scenario(SCENARIO);
     let output = directory.scale(&["instance", "--scenario", "small.toml", "--binary", "/bin/false"]);
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let error = String::from_utf8(output.stderr).unwrap();
