--- a/scale/src/full_set.rs
+++ b/scale/src/all_experiments.rs
@@ -28,7 +28,7 @@
 
 /// Arguments of `scale all`.
 #[derive(Debug, Args)]
-pub struct FullSetArguments {
+pub struct AllExperimentsArguments {
     /// Read the scenarios from this directory, each named after its experiment (policy.toml), instead of the built-in
     /// ones.
     #[arg(long, value_name = "FOLDER")]
@@ -41,7 +41,7 @@
     only: Vec<Experiment>,
 }
 
-impl FullSetArguments {
+impl AllExperimentsArguments {
     /// Returns the commands of the selected experiments.
     pub fn commands(&self) -> Vec<Command> {
         let experiments = if self.only.is_empty() { Experiment::value_variants() } else { &self.only };
--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -1,9 +1,9 @@
 //! Command line of the tool: arguments, logging and exit status.
 
+use crate::all_experiments;
 use crate::discovery;
 use crate::error::ScaleError;
 use crate::fleet;
-use crate::full_set;
 use crate::instance;
 use crate::policy;
 use clap::{Parser, Subcommand};
@@ -38,7 +38,7 @@
     /// Responses learned, load after an outage and deliveries, by the size of the fleet that shares the destinations.
     Fleet(fleet::FleetArguments),
     /// Run all experiments, one after the other.
-    All(full_set::FullSetArguments),
+    All(all_experiments::AllExperimentsArguments),
     /// Memory, time until ready and CPU time of forwarder processes, by destinations, held messages and processes.
     Instance(instance::InstanceArguments),
     /// A single run of `policy` in a process of its own. Reads its plan from standard input.
--- a/scale/src/fleet/metrics.rs
+++ b/scale/src/fleet/metrics.rs
@@ -29,9 +29,11 @@
     #[serde(rename = "answers_of_pairs_met")]
     pub responses_of_pairs_with_traffic: Option<SampleSummary>,
     /// Fraction of all pairs with enough responses for a measured timeout.
-    pub pairs_trusted_share: f64,
+    #[serde(rename = "pairs_trusted_share")]
+    pub pairs_with_measured_timeout_share: f64,
     /// Time in which a pair gets that many responses, at the mean rate of the phase; `None` without responses.
-    pub seconds_until_trusted: Option<f64>,
+    #[serde(rename = "seconds_until_trusted")]
+    pub seconds_until_measured_timeout: Option<f64>,
     /// Fraction of the phase's messages that were delivered within their aim.
     pub within_aim_share: Option<f64>,
 }
@@ -122,7 +124,7 @@
 ) -> SteadyMetrics {
     let pairs = (point.replicas * scenario.traffic.sampled_destinations.get()) as f64;
     let responses = &learned.per_pair_with_traffic;
-    let trusted =
+    let with_measured_timeout =
         responses.iter().filter(|responses| **responses >= MIN_RESPONSES_FOR_MEASURED_TIMEOUT).count();
     let total: f64 = responses.iter().map(|responses| f64::from(*responses)).sum();
     let per_pair_and_second = total / pairs / scenario.phases.steady_s.get() as f64;
@@ -131,8 +133,8 @@
         responses_of_pairs_with_traffic: SampleSummary::from_values(
             responses.iter().map(|responses| f64::from(*responses)),
         ),
-        pairs_trusted_share: trusted as f64 / pairs,
-        seconds_until_trusted: (total > 0.0)
+        pairs_with_measured_timeout_share: with_measured_timeout as f64 / pairs,
+        seconds_until_measured_timeout: (total > 0.0)
             .then(|| f64::from(MIN_RESPONSES_FOR_MEASURED_TIMEOUT) / per_pair_and_second),
         within_aim_share: deliveries.share_within_aim(phases.start..phases.outage_start),
     }
--- a/scale/src/fleet/results.rs
+++ b/scale/src/fleet/results.rs
@@ -51,8 +51,8 @@
         result.metrics.messages.to_string(),
         percent_cell(Some(steady.pairs_with_traffic_share)),
         optional_summary_cell(steady.responses_of_pairs_with_traffic),
-        percent_cell(Some(steady.pairs_trusted_share)),
-        optional_cell(steady.seconds_until_trusted.map(|seconds| seconds / SECONDS_PER_HOUR)),
+        percent_cell(Some(steady.pairs_with_measured_timeout_share)),
+        optional_cell(steady.seconds_until_measured_timeout.map(|seconds| seconds / SECONDS_PER_HOUR)),
         percent_cell(steady.within_aim_share),
     ]
 }
--- a/scale/src/instance/run.rs
+++ b/scale/src/instance/run.rs
@@ -124,17 +124,17 @@
 }
 
 /// An HTTP server with its handler.
-struct MockServer<H> {
+struct SimulatedServer<H> {
     handler: Arc<H>,
     server: HttpServer,
 }
 
-impl<H: Handler> MockServer<H> {
-    async fn start(handler: H) -> Result<MockServer<H>, InstanceError> {
+impl<H: Handler> SimulatedServer<H> {
+    async fn start(handler: H) -> Result<SimulatedServer<H>, InstanceError> {
         let handler = Arc::new(handler);
         let server = HttpServer::start(handler.clone()).await;
         let server = server.map_err(InstanceError::during("starting a simulated server"))?;
-        Ok(MockServer { handler, server })
+        Ok(SimulatedServer { handler, server })
     }
 }
 
@@ -144,17 +144,17 @@
     point: &'a Point,
     directory: TempDir,
     destinations: Destinations,
-    discovery: MockServer<DiscoveryServer>,
-    serving: MockServer<DestinationServer>,
-    rejecting: MockServer<DestinationServer>,
+    discovery: SimulatedServer<DiscoveryServer>,
+    serving: SimulatedServer<DestinationServer>,
+    rejecting: SimulatedServer<DestinationServer>,
     next_id: Arc<AtomicU64>,
 }
 
 impl<'a> RunEnvironment<'a> {
     async fn start(plan: &'a Plan, point: &'a Point) -> Result<RunEnvironment<'a>, InstanceError> {
         let deliver = DestinationBehavior::Deliver(milliseconds(plan.workload.service_time_ms));
-        let serving = MockServer::start(DestinationServer::new(deliver)).await?;
-        let rejecting = MockServer::start(DestinationServer::new(DestinationBehavior::Reject)).await?;
+        let serving = SimulatedServer::start(DestinationServer::new(deliver)).await?;
+        let rejecting = SimulatedServer::start(DestinationServer::new(DestinationBehavior::Reject)).await?;
         let destinations = Destinations {
             listed: point.listed,
             rejecting: if point.series == Series::Held { plan.rejecting_destinations } else { 0 },
@@ -164,7 +164,8 @@
         };
         let list = DiscoveryServer::new(&destinations).map_err(io::Error::from);
         let discovery =
-            MockServer::start(list.map_err(InstanceError::during("encoding the endpoint list"))?).await?;
+            SimulatedServer::start(list.map_err(InstanceError::during("encoding the endpoint list"))?)
+                .await?;
         let directory =
             tempfile::tempdir().map_err(InstanceError::during("creating a temporary directory"))?;
         let next_id = Arc::new(AtomicU64::new(1));
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -3,6 +3,7 @@
 //! Each experiment is a subcommand of the `scale` command: a module and a variant of [`cli::Command`]. All
 //! experiments share the other modules.
 
+pub mod all_experiments;
 pub mod arguments;
 pub mod bounded_integer;
 pub mod call;
@@ -12,7 +13,6 @@
 pub mod discovery;
 pub mod error;
 pub mod fleet;
-pub mod full_set;
 pub mod instance;
 pub mod interrupt;
 pub mod memory;
@@ -21,7 +21,6 @@
 pub mod process_usage;
 pub mod progress;
 pub mod provenance;
-
 pub mod report;
 pub mod scenario;
 pub mod service_time;
