--- a/tests/blocked_destinations.rs
+++ b/tests/blocked_destinations.rs
@@ -9,7 +9,7 @@
 /// Short enough not to open the circuit breaker; it ends between two runs of the periodic maintenance.
 const RETRY_AFTER: u64 = 1030 * MILLISECOND;
 /// By then a call has followed the retry-after time, whatever pause the rejection adds, and the message has not expired.
-const REOPENED_WITHIN: u64 = 15 * SECOND;
+const RESUMED_WITHIN: u64 = 15 * SECOND;
 
 /// One destination with one endpoint. Each endpoint has a route of its own.
 fn one_destination() -> PolicyHarness {
@@ -66,23 +66,23 @@
 }
 
 #[test]
-fn a_retry_after_time_ends_after_a_hot_restart() {
+fn a_retry_after_still_ends_after_a_hot_restart() {
     let mut harness = one_destination();
     reject_with_retry_after(&mut harness);
     let state = harness.policy.export_state().unwrap();
     harness.policy = DeliveryPolicy::import_state(&state, harness.settings.clone()).unwrap();
-    harness.advance(REOPENED_WITHIN, responds_after(0));
+    harness.advance(RESUMED_WITHIN, responds_after(0));
     assert!(harness.messages.values().all(|message| message.delivered));
     harness.assert_no_violations();
 }
 
 #[test]
-fn no_timer_is_set_for_the_end_of_a_retry_after_time_during_shutdown() {
+fn no_timer_is_set_for_the_end_of_a_retry_after_during_shutdown() {
     let mut harness = one_destination();
     reject_with_retry_after(&mut harness);
     harness.process(Event::Shutdown { at: harness.now });
     let before = harness.trace.len();
-    harness.advance(REOPENED_WITHIN, never_responds);
+    harness.advance(RESUMED_WITHIN, never_responds);
     let due = |(at, action): &(u64, Action)| match action {
         Action::Timer { after, .. } => Some(at + after),
         _ => None,
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -13,7 +13,7 @@
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 const FIRST_ADDRESS: &str = "127.0.0.1:8500";
 const SECOND_ADDRESS: &str = "127.0.0.2:8500";
-const REPLICAS: [u32; 4] = [1, 4, 15, 3_000];
+const FLEET_SIZES: [u32; 4] = [1, 4, 15, 3_000];
 const MODES: [DiscoveryMode; 2] = [DiscoveryMode::Pushed, DiscoveryMode::OnRequest];
 
 /// What happens to a request.
@@ -130,7 +130,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn requests_without_a_reply_time_out_and_failures_back_off() {
-    for (mode, hold_time, max_backoff) in [(MODES[0], 2_000, 100), (MODES[1], 2_500, 500)] {
+    for (mode, timeout_ms, max_backoff_ms) in [(MODES[0], 2_000, 100), (MODES[1], 2_500, 500)] {
         let (requests, _) = run_client(
             &[ScriptedReply::NoReply, ScriptedReply::Interrupted],
             options(mode, 1),
@@ -143,14 +143,14 @@
             requests.windows(2).map(|pair| pair[1].received_at - pair[0].received_at).collect();
         // Timers in paused time have a resolution of one millisecond.
         let is_about = |gap: Duration, ms| gap >= MILLIS(ms) && gap <= MILLIS(ms + 2);
-        assert!(is_about(gaps[0], hold_time + 50) && is_about(gaps[1], 100), "{mode:?}: {gaps:?}");
-        assert!(gaps.iter().skip(4).all(|gap| is_about(*gap, max_backoff)), "{mode:?}: {gaps:?}");
+        assert!(is_about(gaps[0], timeout_ms + 50) && is_about(gaps[1], 100), "{mode:?}: {gaps:?}");
+        assert!(gaps.iter().skip(4).all(|gap| is_about(*gap, max_backoff_ms)), "{mode:?}: {gaps:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn rejected_requests_are_retried_at_an_interval_that_grows_with_the_fleet() {
-    for (mode, replicas) in MODES.into_iter().flat_map(|mode| REPLICAS.map(|replicas| (mode, replicas))) {
+    for (mode, replicas) in MODES.into_iter().flat_map(|mode| FLEET_SIZES.map(|replicas| (mode, replicas))) {
         let (requests, _) =
             run_client(&[UNAVAILABLE], options(mode, replicas), 5, MILLIS(60_000), false).await;
         let mean = MILLIS((125 * u64::from(replicas)).min(1_850));
@@ -166,7 +166,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn watches_start_at_once_or_at_a_seeded_delay_that_grows_with_the_fleet() {
-    for replicas in REPLICAS {
+    for replicas in FLEET_SIZES {
         let mut start_delays = Vec::new();
         for seed in 0..20 {
             let first_request_at = |mode, seed| async move {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -24,7 +24,7 @@
 }
 
 impl Fleet {
-    fn new(replicas: u32, limit: f64) -> Fleet {
+    fn new(replicas: u32, rate_limit: f64) -> Fleet {
         let class = Class {
             aim: 3 * SECOND,
             deadline: 12 * SECOND,
@@ -41,7 +41,7 @@
         let now = 5 * SECOND;
         let new_policy = |index: u32| DeliveryPolicy::new(now, u64::from(index) * 7919 + 1, settings.clone());
         let replicas = (0..replicas).map(new_policy).collect();
-        let endpoints = vec![Endpoint { rate: limit, ..endpoint(1, 1) }];
+        let endpoints = vec![Endpoint { rate: rate_limit, ..endpoint(1, 1) }];
         let (calls, attempt_counts) = (Vec::new(), Vec::new());
         let mut fleet = Fleet {
             now,
@@ -231,8 +231,8 @@
 }
 
 /// Calls in each second after an outage of 5 s, at a destination that gets 20 messages per second.
-fn calls_after_outage(limit: f64) -> Vec<usize> {
-    let mut fleet = Fleet::new(100, limit);
+fn calls_after_outage(rate_limit: f64) -> Vec<usize> {
+    let mut fleet = Fleet::new(100, rate_limit);
     let mut sent = Vec::new();
     for second in 0..20 {
         let outcome = if (5..10).contains(&second) { Outcome::ConnectFailed } else { Outcome::Ok };
@@ -264,25 +264,25 @@
 /// The number of calls that a destination may get from all replicas within the overload duration, so long after its return:
 /// the budget that its contract allows at the capacity it has by then, plus twice the square root of the budget and two for
 /// random variation.
-fn allowed_while_cold(limit: f64, since_return: u64, contract: &DestinationContract) -> f64 {
+fn allowed_while_cold(rate_limit: f64, since_return: u64, contract: &DestinationContract) -> f64 {
     let capacity_share = contract.cold_capacity_share
         + (1.0 - contract.cold_capacity_share) * (since_return as f64 / contract.ramp_time as f64).min(1.0);
-    let budget =
-        limit * capacity_share * contract.overload_factor * contract.overload_duration as f64 / SECOND as f64;
+    let budget = rate_limit * capacity_share * contract.overload_factor * contract.overload_duration as f64
+        / SECOND as f64;
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
 /// The highest ratio of the calls within an overload duration to those allowed then, after an outage in which backlogs have
 /// grown. Traffic is uneven: every second message goes to the first quarter of the replicas, the others to all of them. Some
 /// replicas may be restarted after the outage.
-fn highest_cold_load(replicas: u32, limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
-    let mut fleet = Fleet::new(replicas, if listed { limit } else { 0.0 });
+fn highest_cold_load(replicas: u32, rate_limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
+    let mut fleet = Fleet::new(replicas, if listed { rate_limit } else { 0.0 });
     let contract = fleet.settings.contract.clone();
     let (outage_start, outage_end, end) = (5 * SECOND, 5 * SECOND + outage, 18 * SECOND + outage);
-    let (mut calls_by_step, mut due, mut submitted, mut informed) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
+    let (mut calls_by_step, mut due, mut submitted, mut observers) = (Vec::new(), 0.0, 0u64, BTreeSet::new());
     for step in 0..end / STEP {
         let at = step * STEP;
-        due += 0.8 * limit * STEP as f64 / SECOND as f64;
+        due += 0.8 * rate_limit * STEP as f64 / SECOND as f64;
         while due >= 1.0 {
             (due, submitted) = (due - 1.0, submitted + 1);
             let all = u64::from(replicas);
@@ -298,29 +298,29 @@
         let before = fleet.calls.len();
         fleet.step();
         let callers = fleet.calls[before..].iter().map(|call| call.0);
-        informed.extend(callers.clone().filter(|_| is_down));
+        observers.extend(callers.clone().filter(|_| is_down));
         calls_by_step.push(
-            callers.filter(|_| !is_down).map(|replica| informed.contains(&replica)).collect::<Vec<_>>(),
+            callers.filter(|_| !is_down).map(|replica| observers.contains(&replica)).collect::<Vec<_>>(),
         );
     }
     let window = (contract.overload_duration / STEP) as usize;
     let first = (outage_end / STEP) as usize;
     let worst = (first..calls_by_step.len() - window).map(|from| {
         let calls: Vec<bool> = calls_by_step[from..from + window].iter().flatten().copied().collect();
-        let by_informed = calls.iter().filter(|informed| **informed).count();
+        let by_observers = calls.iter().filter(|by_observer| **by_observer).count();
         // Only replicas that have seen a call fail break the rule: a window counts if more than two thirds of its calls are
         // theirs.
-        let counted = if 3 * by_informed > 2 * calls.len() { calls.len() } else { 0 };
-        counted as f64 / allowed_while_cold(limit, (from - first) as u64 * STEP, &contract)
+        let counted = if 3 * by_observers > 2 * calls.len() { calls.len() } else { 0 };
+        counted as f64 / allowed_while_cold(rate_limit, (from - first) as u64 * STEP, &contract)
     });
     worst.fold(0.0, f64::max)
 }
 
 /// Checks the load on a cold destination with and without a listed limit, and with and without restarts of replicas.
-fn assert_stays_within_cold_capacity(replicas: u32, limit: f64, outage: u64) {
+fn assert_stays_within_cold_capacity(replicas: u32, rate_limit: f64, outage: u64) {
     for (listed, restarts) in [(true, false), (true, true), (false, false), (false, true)] {
-        let worst = highest_cold_load(replicas, limit, listed, restarts, outage);
-        let case = format!("{replicas} replicas, {limit} calls/s, listed {listed}, restarts {restarts}");
+        let worst = highest_cold_load(replicas, rate_limit, listed, restarts, outage);
+        let case = format!("{replicas} replicas, {rate_limit} calls/s, listed {listed}, restarts {restarts}");
         assert!(worst <= 1.0, "{case}, outage of {outage} us: {worst} of the allowed calls");
     }
 }
@@ -331,9 +331,9 @@
 fn fleets_of_any_size_stay_within_cold_capacity() {
     let fleets = [(2, 25.0), (4, 5.0), (4, 25.0), (20, 5.0), (20, 25.0), (30, 5.0), (30, 25.0)];
     let large = [(100, 10.0), (100, 50.0), (350, 10.0)];
-    for (replicas, limit) in fleets.into_iter().chain(large) {
+    for (replicas, rate_limit) in fleets.into_iter().chain(large) {
         for outage in [4 * SECOND, 6 * SECOND, 15 * SECOND] {
-            assert_stays_within_cold_capacity(replicas, limit, outage);
+            assert_stays_within_cold_capacity(replicas, rate_limit, outage);
         }
     }
     for outage in [6 * SECOND, 15 * SECOND] {
--- a/tests/forwarder/admin.rs
+++ b/tests/forwarder/admin.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Far shorter than the time in which a server that waits for each of the silent connections in turn would respond.
-const RESPONSE_LIMIT: Duration = Duration::from_secs(10);
+const MAX_RESPONSE_TIME: Duration = Duration::from_secs(10);
 
 /// The value of a metric, as the admin server prints it.
 pub fn metric(forwarder: &Forwarder, name: &str) -> u64 {
@@ -62,7 +62,7 @@
         })
         .collect();
     assert_eq!(status_code(&forwarder.admin_request("GET", "/-/ready")), "200");
-    assert!(start.elapsed() < RESPONSE_LIMIT, "response after {:?}", start.elapsed());
+    assert!(start.elapsed() < MAX_RESPONSE_TIME, "response after {:?}", start.elapsed());
     drop(silent_connections);
 }
 
--- a/tests/forwarder/edge_cases.rs
+++ b/tests/forwarder/edge_cases.rs
@@ -146,7 +146,7 @@
 /// Another discovery server numbers its versions independently. Targets that it lists as leaving are drained; those
 /// that were drained before stay drained.
 #[test]
-fn a_discovery_with_lower_versions_is_obeyed_and_revives_no_target() {
+fn a_discovery_with_lower_versions_is_obeyed_and_drained_targets_stay_drained() {
     let (old, new, drained) =
         (HttpServer::start(|_| OK), HttpServer::start(|_| OK), HttpServer::start(|_| OK));
     let discovery = DiscoveryServer::start(vec![
--- a/tests/forwarder/hot_restart.rs
+++ b/tests/forwarder/hot_restart.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_hot_restart_loses_duplicates_and_refuses_no_message() {
+fn no_message_is_lost_duplicated_or_refused_by_a_hot_restart() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(20), 200));
     let done = AtomicBool::new(false);
     let listen_address = forwarder.listen_address;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_call_in_flight_ends_once_in_the_metrics_of_the_successor() {
+fn a_call_in_flight_is_counted_once_by_the_successor() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(1_000), 200));
     assert_eq!(forwarder.submit(&fee_message("slow")), 202);
     wait_until("the target receives the call", || target.message_ids() == ["slow"]);
--- a/tests/forwarder/main.rs
+++ b/tests/forwarder/main.rs
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn unknown_responses_mean_that_the_message_may_have_run() {
+fn unexpected_responses_mean_that_the_message_may_have_run() {
     for bytes in [&b"HTTP/1.1 abc\r\n\r\n"[..], b"\0\0\0\0", b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"]
     {
         let (target, discovery, mut forwarder) = start_with_one_target(move |_| Response::Raw(bytes));
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -8,8 +8,8 @@
 /// The arguments for the test runner that the script prints for this list, or none if it rejects the list, and its standard
 /// error.
 fn run_script(list: Option<&str>) -> (Option<Vec<String>>, String) {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("KNOWN-RED.txt");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("KNOWN-RED.txt");
     if let Some(list) = list {
         std::fs::write(&path, list).unwrap();
     }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -23,18 +23,18 @@
 }
 
 impl RestartedPolicy {
-    fn new(settings: Settings, limit: f64) -> RestartedPolicy {
-        RestartedPolicy::with_seed(3, settings, limit)
+    fn new(settings: Settings, rate_limit: f64) -> RestartedPolicy {
+        RestartedPolicy::with_seed(3, settings, rate_limit)
     }
 
-    fn with_seed(seed: u64, settings: Settings, limit: f64) -> RestartedPolicy {
+    fn with_seed(seed: u64, settings: Settings, rate_limit: f64) -> RestartedPolicy {
         let now = 50 * SECOND;
         let policy = DeliveryPolicy::new(now, seed, Settings { listed_rate: ListedRate::Exact, ..settings });
         let (actions, first_sent_at, ended, in_flight) =
             (Vec::new(), BTreeMap::new(), Vec::new(), Vec::new());
         let mut restarted =
             RestartedPolicy { policy, now, actions, first_sent_at, ended, attempted: Vec::new(), in_flight };
-        let endpoints = vec![Endpoint { rate: limit, ..endpoint(1, 1) }];
+        let endpoints = vec![Endpoint { rate: rate_limit, ..endpoint(1, 1) }];
         restarted.notify(Event::List { kind: ListKind::Cached, version: 1, endpoints });
         restarted
     }
@@ -44,9 +44,9 @@
     }
 
     /// Restores a message that has so much time left; `first_run` is the start and zone of an attempt before the restart.
-    fn restore(&mut self, id: MessageId, left: u64, order_key: u64, first_run: Option<(u64, u32)>) {
+    fn restore(&mut self, id: MessageId, time_left: u64, order_key: u64, first_run: Option<(u64, u32)>) {
         let attempts = first_run.map(|_| Outcome::Reset).into_iter().collect();
-        let expires = self.now + left;
+        let expires = self.now + time_left;
         self.attempted.extend(first_run.map(|_| id));
         self.notify(Event::Restored {
             id,
