--- a/tests/blocked_destinations.rs
+++ b/tests/blocked_destinations.rs
@@ -1,14 +1,14 @@
-//! A destination whose routes are all closed is not considered until the first of them opens. If that time changes, it is
-//! considered again at once.
+//! A destination whose routes are all blocked is not considered until the earliest time at which one of them may be
+//! used again. If that time changes, the destination is considered again at once.
 
 mod common;
 
 use common::*;
 use hatchline::*;
 
-/// Short enough not to open the circuit breaker; it ends between two runs of the periodic maintenance.
+/// Short enough not to open the circuit breaker. It ends between two runs of the periodic maintenance.
 const RETRY_AFTER: u64 = 1030 * MILLISECOND;
-/// By then a call has followed the retry-after time, whatever pause the rejection adds, and the message has not expired.
+/// Long enough for a call after the Retry-After, whatever pause the rejection adds, and shorter than the deadline.
 const RESUMED_WITHIN: u64 = 15 * SECOND;
 
 /// One destination with one endpoint. Each endpoint has a route of its own.
@@ -18,15 +18,15 @@
     PolicyHarness::new(settings, vec![endpoint(1, 1)])
 }
 
-/// Lets the only endpoint reject a message with a retry-after time.
+/// Lets the only endpoint reject a message with a Retry-After, and advances time to the middle of it.
 fn reject_with_retry_after(harness: &mut PolicyHarness) {
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::Rejected, RETRY_AFTER);
     harness.advance(RETRY_AFTER / 2, never_responds);
-    assert!(harness.attempts_in_flight().is_empty(), "a call before the retry-after time");
+    assert!(harness.attempts_in_flight().is_empty(), "a call before the end of the Retry-After");
 }
 
-/// Lets all calls in flight except that of one message fail, until no further call is made.
+/// Fails all calls in flight except that of one message, until no further call is made.
 fn fail_all_but(harness: &mut PolicyHarness, excepted: MessageId) {
     while let Some((id, attempt, _)) =
         harness.attempts_in_flight().into_iter().find(|(id, ..)| *id != excepted)
@@ -89,7 +89,7 @@
     };
     let timers: Vec<u64> = harness.trace[before..].iter().filter_map(due).collect();
     assert!(!timers.is_empty());
-    // The timers that are left are those of the periodic maintenance, every 100 ms.
+    // The remaining timers are those of the periodic maintenance, every 100 ms.
     assert!(timers.iter().all(|at| at % (100 * MILLISECOND) == 0), "{timers:?}");
     harness.assert_no_violations();
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,6 +28,7 @@
 pub struct TestMessage {
     pub class: usize,
     pub destination: DestinationId,
+    /// 0 if the class is not delivered in order.
     pub order_key: u64,
     /// No attempt may run past this time.
     pub expires: u64,
@@ -44,22 +45,22 @@
     pub settings: Settings,
     pub policy: DeliveryPolicy,
     pub messages: BTreeMap<MessageId, TestMessage>,
-    /// Messages of each order key, in the order in which they were submitted.
+    /// Messages of each order key, in the order of their submission.
     pub ids_by_order_key: BTreeMap<u64, Vec<MessageId>>,
-    /// When the pause of an order key after an attempt with an uncertain end is over.
+    /// Until when each order key is paused after an attempt whose outcome is uncertain.
     pub order_pause_ends: BTreeMap<u64, u64>,
     pub endpoints: BTreeMap<TargetId, Endpoint>,
-    /// Since when an endpoint has been draining or removed.
+    /// When an endpoint began to drain or was removed.
     pub leaving_since: BTreeMap<TargetId, u64>,
-    /// When the retry-after time of a route ends; target 0 stands for the route that all endpoints of a destination share.
+    /// End of the Retry-After of a route; target 0 stands for the route that all endpoints of a destination share.
     pub retry_after_ends: BTreeMap<(DestinationId, TargetId), u64>,
     /// Due time and token.
     pub timers: BTreeSet<(u64, u32)>,
     /// All actions, each with its time.
     pub trace: Vec<(u64, Action)>,
-    /// Descriptions of all broken rules.
+    /// Descriptions of all violations of the delivery rules.
     pub violations: Vec<String>,
-    /// Attempts that the policy has cancelled; they end with the next tick.
+    /// Attempts that the policy has cancelled; they end at the next tick.
     pending_cancels: Vec<(MessageId, usize)>,
     /// Messages that the clients have withdrawn.
     withdrawn: BTreeSet<MessageId>,
@@ -80,7 +81,7 @@
     }
 }
 
-/// The settings that most tests use: one replica of two, with shared routes and no batches.
+/// The settings that most tests use: a fleet of two replicas, one route per destination, and no batches.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         replicas: 2,
@@ -159,7 +160,7 @@
         self.process(Event::List { kind, version: self.list_version, endpoints });
     }
 
-    /// Submits a message. The order key counts only for classes that are delivered in order.
+    /// Submits a message. The order key is ignored for classes that are not delivered in order.
     pub fn submit(&mut self, class: usize, destination: DestinationId, order_key: u64) -> MessageId {
         let id = self.next_id;
         self.next_id += 1;
@@ -183,7 +184,7 @@
         id
     }
 
-    /// Attempts without an outcome: message, index of the attempt, attempt.
+    /// All attempts in flight: message, index of the attempt, attempt.
     pub fn attempts_in_flight(&self) -> Vec<(MessageId, usize, Attempt)> {
         let all = self.messages.iter().flat_map(|(id, message)| {
             message.attempts.iter().enumerate().map(|(index, attempt)| (*id, index, attempt.clone()))
@@ -191,7 +192,7 @@
         all.filter(|(_, _, attempt)| attempt.outcome.is_none()).collect()
     }
 
-    /// Ends an attempt; `retry_after` is that of the response, 0 for none.
+    /// Ends an attempt; `retry_after` is the Retry-After of the response, 0 for none.
     pub fn end_attempt(&mut self, id: MessageId, index: usize, outcome: Outcome, retry_after: u64) {
         let now = self.now;
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -224,14 +225,15 @@
         });
     }
 
-    /// The client withdraws the message without the policy being notified: a call that carries it ends as not sent.
+    /// Withdraws a message as its client would, without notifying the policy: a call that carries it ends as not
+    /// sent.
     pub fn withdraw(&mut self, id: MessageId) {
         let now = self.now;
         self.messages.entry(id).and_modify(|message| message.ended_at = Some(now));
         self.withdrawn.insert(id);
     }
 
-    /// Whether the endpoint is a route of its own rather than sharing that of its destination.
+    /// Whether the endpoint is a route of its own rather than part of the route of its destination.
     fn has_own_route(&self, target: TargetId) -> bool {
         let kind = self.endpoints[&target].kind as usize;
         self.settings.route_per_endpoint.get(kind).copied().unwrap_or(false)
@@ -291,7 +293,7 @@
         let class = self.settings.classes[message.class].clone();
         let endpoint = self.endpoints[&target].clone();
         if self.withdrawn.contains(&id) {
-            // The policy learns of the withdrawal by this attempt, whose outcome says that the message has ended.
+            // The policy learns of the withdrawal from this attempt, whose outcome says that the message has ended.
             let attempt = Attempt { target, sent_at: self.now, times_out_at, outcome: None };
             return self.messages.entry(id).or_insert(message).attempts.push(attempt);
         }
@@ -338,7 +340,8 @@
         }
         let route = if self.has_own_route(target) { target } else { 0 };
         if self.retry_after_ends.get(&(message.destination, route)).is_some_and(|end| self.now < *end) {
-            self.violations.push(format!("at {}: message {id}: sent before its Retry-After time", self.now));
+            self.violations
+                .push(format!("at {}: message {id}: sent before the end of the Retry-After", self.now));
         }
         if message.order_key != 0 {
             let ids = &self.ids_by_order_key[&message.order_key];
@@ -376,7 +379,7 @@
         }
     }
 
-    /// Advances time in ticks. `respond` gives the outcome of an attempt and its retry-after time, or none while the
+    /// Advances time in ticks. `respond` returns the outcome of an attempt and its Retry-After, or `None` while the
     /// call stays in flight.
     pub fn advance(
         &mut self, span: u64, mut respond: impl FnMut(u64, MessageId, &Attempt) -> Option<(Outcome, u64)>,
@@ -410,7 +413,7 @@
         self.messages.values().map(|message| message.attempts.len()).sum()
     }
 
-    /// Fails the test if a rule was broken.
+    /// Fails the test if a delivery rule was broken.
     pub fn assert_no_violations(&self) {
         assert!(self.violations.is_empty(), "{:#?}", &self.violations[..self.violations.len().min(5)]);
     }
@@ -421,7 +424,7 @@
     !matches!(attempt.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
-/// Delivers every attempt after `latency`.
+/// Responds to each attempt with success after `latency`.
 pub fn responds_after(latency: u64) -> impl FnMut(u64, MessageId, &Attempt) -> Option<(Outcome, u64)> {
     move |now, _, attempt| (now >= attempt.sent_at + latency).then_some((Outcome::Ok, 0))
 }
--- a/tests/common/random_steps.rs
+++ b/tests/common/random_steps.rs
@@ -12,18 +12,19 @@
         destination: u32,
         key: u64,
     },
-    /// Ends one of the attempts in flight, if there are any. A rejection has a retry-after time, in units of 700 ms.
+    /// Ends one of the attempts in flight, if there are any. `retry_after` counts units of 700 ms and applies to
+    /// rejections only.
     EndAttempt {
         which: usize,
         outcome: u8,
         retry_after: u64,
     },
-    /// Delivers an update of the list with the new state of one endpoint.
+    /// Sends the policy a list update with the new state of one endpoint.
     SetState {
         target: u32,
         state: u8,
     },
-    /// Delivers the full list without one endpoint; a number that no endpoint has leaves it complete.
+    /// Sends the policy the full list without one endpoint. If no endpoint has this number, the list is complete.
     FullList {
         omitted: u32,
     },
@@ -56,7 +57,7 @@
     ]
 }
 
-/// Runs the steps, and then until all messages have ended.
+/// Runs the steps, then advances time until all messages have ended.
 pub fn run_steps(steps: &[Step], batch_size: u32) -> PolicyHarness {
     let mut zone_scoped = class(RetrySafety::Keyed);
     zone_scoped.deduplication_scope = DeduplicationScope::Zone;
--- a/tests/common/random_traffic.rs
+++ b/tests/common/random_traffic.rs
@@ -1,4 +1,4 @@
-//! Longer seeded runs over many destinations: traffic that varies, rate limits, rejections, failures, lists with higher
+//! Longer seeded runs over many destinations: varying traffic, rate limits, rejections, failures, lists with higher
 //! and lower versions, endpoints disabled by an operator, hot restarts, and messages restored by a restart.
 
 use super::*;
@@ -6,7 +6,7 @@
 
 const DESTINATIONS: u32 = 24;
 const STEPS: usize = 160;
-/// Restored messages are numbered from here, above the ids that the harness assigns.
+/// Id of the first restored message, above the ids that the harness assigns.
 const FIRST_RESTORED_ID: MessageId = 1 << 32;
 
 /// The time scale of the traffic and the outcomes that occur in it.
@@ -15,8 +15,8 @@
     pub deadline: u64,
     /// Unit of the random pauses between steps.
     pub pause_unit: u64,
-    /// Whether attempts may end as [`Outcome::TooManyConnections`]. The harness takes such attempts for ones that may
-    /// have run, so it must not be set where its checks are asserted.
+    /// Whether attempts may end as [`Outcome::TooManyConnections`]. The harness counts such attempts as possibly run,
+    /// so this must not be set where its checks are asserted.
     pub limits_connections: bool,
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// Picks one of the destinations that are busy at this step. They change over time, so that the first message to a
-/// destination may come long after it was listed.
+/// destination may arrive long after the destination was listed.
 fn busy_destination(rng: &mut Rng, step: usize) -> DestinationId {
     let first = (step / 20) as u32 * 3;
     1 + (first + rng.u32(0..5)) % DESTINATIONS
@@ -119,7 +119,7 @@
     harness.end_attempt(*id, *attempt, outcome, retry_after);
 }
 
-/// Runs the traffic of this seed, and then until all messages have ended.
+/// Runs the traffic of this seed, then advances time until all messages have ended.
 pub fn run_traffic(seed: u64, profile: TrafficProfile) -> PolicyHarness {
     let mut rng = Rng::with_seed(seed);
     let endpoints = random_endpoints(&mut rng);
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -1,5 +1,5 @@
-//! Many replicas and an endpoint that accepts few connections, idle ones included. Its limit is listed nowhere: a connection
-//! above it gets one response, a rejection, and is closed.
+//! Many replicas share an endpoint that accepts few connections, idle ones included. The endpoint list does not state
+//! the limit: a connection beyond it gets one response, a rejection, and is closed.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 /// Interval at which all replicas decide.
 const STEP: u64 = 10 * MILLISECOND;
-/// Time to establish a connection and time of a call on it. A rejected connection takes the former.
+/// Time to establish a connection, and duration of a call on it. A rejected connection takes only the former.
 const CONNECT_TIME: u64 = 50 * MILLISECOND;
 const CALL_TIME: u64 = 100 * MILLISECOND;
 
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Submits so many messages per second for a span, spread over the replicas, and returns the delivered share of them.
+    /// Submits `messages_per_second` for `span`, spread over the replicas, and returns the share of them that was
+    /// delivered.
     fn delivered_share(&mut self, messages_per_second: f64, span: u64) -> f64 {
         let (before, mut submitted, mut due) = (self.delivered, 0, 0.0);
         for _ in 0..span / STEP {
@@ -138,7 +139,7 @@
             while due >= 1.0 {
                 due -= 1.0;
                 submitted += 1;
-                // 37 has no factor in common with the number of replicas, so that each of them gets its turn.
+                // 37 has no factor in common with the number of replicas, so that each of them gets messages.
                 self.submit(submitted * 37 % self.replicas.len());
             }
             self.step();
@@ -147,9 +148,9 @@
     }
 }
 
-/// In a fleet of 279, messages to such destinations were hardly delivered: the first replicas to connect kept their
-/// connections, idle most of the time, while the connections of all others were rejected, and these backed off as after
-/// rejections by a rate limit.
+/// In a fleet of 279, messages to such destinations were hardly ever delivered: the first replicas to connect kept
+/// their connections, idle most of the time, while the connections of all others were rejected, and these backed off
+/// as they do after rejections by a rate limit.
 #[test]
 fn replicas_share_the_few_connections_of_an_endpoint() {
     let mut fleet = ConnectionLimitedFleet::new(100, 16);
@@ -158,7 +159,7 @@
     assert!(share > 0.8, "{share}");
 }
 
-/// Where the limit suffices for all replicas, connections are kept open, since each new one has a cost.
+/// Where the limit suffices for all replicas, connections are kept open, since establishing one has a cost.
 #[test]
 fn connections_are_kept_where_the_limit_suffices_for_all() {
     let mut fleet = ConnectionLimitedFleet::new(20, 1000);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Tests of the discovery client with a scripted transport, in paused time.
+//! Tests of the discovery client, with a scripted transport and the clock paused.
 
 use hatchline::discovery::{Client, ClientOptions, DiscoveryEvent, DiscoveryMode};
 use hatchline::discovery::{ListRequest, Reply, Transport, TransportError};
@@ -16,7 +16,7 @@
 const FLEET_SIZES: [u32; 4] = [1, 4, 15, 3_000];
 const MODES: [DiscoveryMode; 2] = [DiscoveryMode::Pushed, DiscoveryMode::OnRequest];
 
-/// What happens to a request.
+/// How the scripted transport ends a request.
 #[derive(Clone, Copy)]
 enum ScriptedReply {
     Reply(StatusCode, &'static str),
@@ -26,7 +26,7 @@
 
 const UNAVAILABLE: ScriptedReply = ScriptedReply::Reply(StatusCode::SERVICE_UNAVAILABLE, "");
 
-/// A request and the time since the start at which it arrived.
+/// A request, and when it was received, as a time since the start.
 struct ReceivedRequest {
     received_at: Duration,
     address: SocketAddr,
@@ -59,8 +59,8 @@
     fn disconnect(&mut self) {}
 }
 
-/// Runs a client that knows version 7 for `span` and returns its requests and events. The address of discovery may change
-/// after half of the span.
+/// Runs a client that has version 7 of the list for `span` and returns its requests and events. With
+/// `changes_address`, the address of discovery changes after half of the span.
 async fn run_client(
     replies: &[ScriptedReply], options: ClientOptions, seed: u64, span: Duration, changes_address: bool,
 ) -> (Vec<ReceivedRequest>, Vec<DiscoveryEvent>) {
@@ -91,7 +91,7 @@
     ClientOptions { mode, replicas }
 }
 
-/// The version that a watch continues from, or none for a request for the full list.
+/// The version that a watch continues from; `None` for a request for the full list.
 fn known_version(received: &ReceivedRequest) -> Option<u64> {
     match received.request {
         ListRequest::FullList => None,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of replicas that share no state: what is harmless for each alone must stay so when all of them do it. The tests
-//! pass the same events to all replicas and count the calls that these make together.
+//! Fleets of replicas that share no state: what is harmless when one replica does it must stay so when all do it at
+//! once. The tests pass the same events to all replicas and count the calls that the whole fleet makes.
 
 mod common;
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Submits so many messages to a replica.
+    /// Submits this number of messages to a replica.
     fn submit(&mut self, replica: usize, messages: usize) {
         let expires = self.now + 12 * SECOND;
         for _ in 0..messages {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Restarts a replica that keeps nothing but the endpoint list.
+    /// Restarts a replica, which keeps only the endpoint list.
     fn restart(&mut self, replica: usize) {
         self.calls.retain(|call| call.0 != replica);
         let mut policy = DeliveryPolicy::new(self.now, self.now + replica as u64, self.settings.clone());
@@ -125,14 +125,15 @@
         }
     }
 
-    /// The number of calls of all replicas within a span. Each call ends with the outcome after 100 ms.
+    /// Number of calls that all replicas make within `span`. Each call ends with this outcome after 100 ms.
     fn calls_within(&mut self, span: u64, outcome: Outcome) -> usize {
         let steps = 0..span / STEP;
         steps.map(|_| (self.end_due_calls(outcome), self.step()).1).sum()
     }
 }
 
-/// Rejected calls count against the rate limit: a fleet that stayed above it would never deliver anything.
+/// Rejected calls count against the rate limit of the destination: a fleet that stayed above it would never deliver
+/// anything.
 #[test]
 fn a_fleet_keeps_to_the_listed_limit_after_rejections() {
     let mut fleet = Fleet::new(100, 25.0);
@@ -144,13 +145,13 @@
     fleet.calls_within(200 * MILLISECOND, Outcome::Rejected);
     let seconds: Vec<usize> = (0..8).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
     let all: usize = seconds.iter().sum();
-    // What the limit allows in eight seconds, give or take a quarter.
+    // What the limit allows in eight seconds, plus or minus a quarter.
     assert!((150..=250).contains(&all), "{seconds:?}");
 }
 
-/// In fleets of 300, two hundred replicas that had been killed restarted with the messages that they held, and each made a
-/// call at once to destinations that allow 30 calls per second. Rejected calls count against the limit, so that nothing was
-/// delivered for seconds.
+/// In fleets of 300, two hundred killed replicas restarted with the messages that they had held, and each made a call
+/// at once to destinations that allow 30 calls per second. Rejected calls count against the limit, so that nothing
+/// was delivered for seconds.
 #[test]
 fn a_fleet_that_starts_with_a_backlog_keeps_to_the_listed_limit() {
     let mut fleet = Fleet::new(300, 60.0);
@@ -166,14 +167,14 @@
     let mut fleet = Fleet::new(100, 25.0);
     (0..100).for_each(|replica| fleet.submit(replica, 6));
     fleet.calls_within(200 * MILLISECOND, Outcome::Rejected);
-    // The calls that the first pause after a rejection lets through are over by then.
+    // The calls that follow the first pause after a rejection have ended by then.
     fleet.calls_within(2 * SECOND, Outcome::Ok);
     let seconds: Vec<usize> = (0..6).map(|_| fleet.calls_within(SECOND, Outcome::Ok)).collect();
     assert!(seconds.iter().all(|n| *n <= 50), "{seconds:?}");
 }
 
-/// Each replica sends rarely: after an idle time, two calls of one replica are within random variation, and the second need
-/// not wait for the first.
+/// Each replica of a large fleet sends rarely: after an idle time, two calls of one replica are within random
+/// variation, and the second need not wait for the first.
 #[test]
 fn a_replica_of_a_large_fleet_saves_up_calls() {
     let mut fleet = Fleet::new(100, 25.0);
@@ -184,8 +185,8 @@
     assert_eq!(fleet.calls_within(500 * MILLISECOND, Outcome::Ok), 2);
 }
 
-/// A limit that was lowered for some seconds is used in full again soon, although each replica has few responses to learn
-/// that from.
+/// After rejections have lowered the rate limits of the replicas for some seconds, the listed limit is soon used in
+/// full again, although each replica has few responses to learn that from.
 #[test]
 fn a_fleet_returns_to_the_listed_limit() {
     let mut fleet = Fleet::new(100, 200.0);
@@ -198,8 +199,8 @@
     assert!((700..=1100).contains(&sent), "{sent}");
 }
 
-/// A destination that is down accepts no connections, but not because of a connection limit. Once it is back and still cold,
-/// a handshake for each call would be an extra load.
+/// A destination that is down accepts no connections, but not because of a connection limit. Once it is back and
+/// still cold, opening a connection for each call would be an extra load.
 #[test]
 fn connections_to_a_destination_that_was_down_are_kept() {
     let mut fleet = Fleet::new(2, 25.0);
@@ -246,24 +247,25 @@
     sent.split_off(10)
 }
 
-/// The half-open probes of all replicas together are few enough for a cold destination, but not fewer: the traffic of one
-/// replica alone would make its probes too rare.
+/// The half-open probes of all replicas together are few enough for a cold destination, but not fewer: if each
+/// replica probed only as often as its own traffic allows, probes would be too rare.
 #[test]
 fn a_fleet_soon_notices_that_a_destination_is_back() {
     let sent: usize = calls_after_outage(100.0).iter().take(4).sum();
     assert!((110..=170).contains(&sent), "{sent}");
 }
 
-/// Each replica learns of the return by its own probe, most of them late; the fleet's slow start must not wait for them.
+/// Each replica learns of the return from its own probe, most of them late; the fleet's slow start must not wait for
+/// them.
 #[test]
 fn the_slow_start_of_a_fleet_does_not_restart_with_each_replica() {
     let sent: usize = calls_after_outage(25.0).iter().skip(5).take(4).sum();
     assert!((70..=110).contains(&sent), "{sent}");
 }
 
-/// The number of calls that a destination may get from all replicas within the overload duration, so long after its return:
-/// the budget that its contract allows at the capacity it has by then, plus twice the square root of the budget and two for
-/// random variation.
+/// Number of calls that a destination may get from all replicas within the overload duration, this long after its
+/// return: the budget that its contract allows at the capacity that it has by then, plus twice the square root of the
+/// budget and two for random variation.
 fn allowed_while_cold(rate_limit: f64, since_return: u64, contract: &DestinationContract) -> f64 {
     let capacity_share = contract.cold_capacity_share
         + (1.0 - contract.cold_capacity_share) * (since_return as f64 / contract.ramp_time as f64).min(1.0);
@@ -272,9 +274,9 @@
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
-/// The highest ratio of the calls within an overload duration to those allowed then, after an outage in which backlogs have
-/// grown. Traffic is uneven: every second message goes to the first quarter of the replicas, the others to all of them. Some
-/// replicas may be restarted after the outage.
+/// The highest ratio, after an outage, of the calls within one overload duration to the calls allowed then. Backlogs
+/// grow during the outage. Traffic is uneven: every second message goes to the first quarter of the replicas, the
+/// others to all of them. With `restarts`, some replicas are restarted after the outage.
 fn highest_cold_load(replicas: u32, rate_limit: f64, listed: bool, restarts: bool, outage: u64) -> f64 {
     let mut fleet = Fleet::new(replicas, if listed { rate_limit } else { 0.0 });
     let contract = fleet.settings.contract.clone();
@@ -294,7 +296,7 @@
         }
         let is_down = (outage_start..outage_end).contains(&at);
         fleet.end_due_calls(if is_down { Outcome::ConnectFailed } else { Outcome::Ok });
-        // An attempt that cannot connect does not count as a call.
+        // An attempt that cannot connect does not reach the destination as a call.
         let before = fleet.calls.len();
         fleet.step();
         let callers = fleet.calls[before..].iter().map(|call| call.0);
@@ -308,8 +310,8 @@
     let worst = (first..calls_by_step.len() - window).map(|from| {
         let calls: Vec<bool> = calls_by_step[from..from + window].iter().flatten().copied().collect();
         let by_observers = calls.iter().filter(|by_observer| **by_observer).count();
-        // Only replicas that have seen a call fail break the rule: a window counts if more than two thirds of its calls are
-        // theirs.
+        // Only replicas that have seen a call fail can break the rule, since no other replica knows of the outage: a
+        // window counts if more than two thirds of its calls are theirs.
         let counted = if 3 * by_observers > 2 * calls.len() { calls.len() } else { 0 };
         counted as f64 / allowed_while_cold(rate_limit, (from - first) as u64 * STEP, &contract)
     });
@@ -325,8 +327,8 @@
     }
 }
 
-/// In fleets of 20 and more, the calls that a replica had saved up while it waited followed its half-open probe at once.
-/// Where no limit is listed, the first probes of replicas whose calls had just failed came too close together.
+/// In fleets of 20 and more, the calls that a replica had saved up while it waited followed its half-open probe at
+/// once. Where no limit is listed, the first probes of replicas whose calls had just failed came too close together.
 #[test]
 fn fleets_of_any_size_stay_within_cold_capacity() {
     let fleets = [(2, 25.0), (4, 5.0), (4, 25.0), (20, 5.0), (20, 25.0), (30, 5.0), (30, 25.0)];
@@ -341,7 +343,7 @@
     }
 }
 
-/// Most replicas of such a fleet have seen only one call fail by then, and go on at their share of the limit.
+/// Most replicas of such a fleet have seen only one call fail by then, and continue at their share of the limit.
 #[test]
 fn a_fleet_of_350_stays_within_cold_capacity_after_a_short_outage() {
     assert_stays_within_cold_capacity(350, 100.0, 4 * SECOND);
--- a/tests/forwarder/admin.rs
+++ b/tests/forwarder/admin.rs
@@ -1,4 +1,4 @@
-//! The admin server: its responses, its behaviour under many connections, and the effect of its requests.
+//! The admin server: its responses, its behaviour under many connections, and the effects of requests to it.
 
 use crate::harness::*;
 use crate::{start_with_one_target, MILLIS};
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Far shorter than the time in which a server that waits for each of the silent connections in turn would respond.
+/// Far less than a server would need that waits for each of the silent connections in turn.
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(10);
 
 /// The value of a metric, as the admin server prints it.
--- a/tests/forwarder/edge_cases.rs
+++ b/tests/forwarder/edge_cases.rs
@@ -1,4 +1,4 @@
-//! Restarts, discovery failures and closing connections, each forced at an unfavourable moment.
+//! Restarts, discovery failures and closed connections, each at an unfavourable moment.
 
 use crate::harness::*;
 use crate::{start_with_one_target, MILLIS};
@@ -77,8 +77,8 @@
     }
 }
 
-/// A change is binding 6 s after discovery has it, whatever became of earlier calls. Lists may be served on request to
-/// fleets of any size.
+/// A change is binding 6 s after discovery has it, regardless of how earlier calls ended. Lists may be served on
+/// request to fleets of any size.
 #[test]
 fn discovery_is_asked_again_in_time_after_failed_calls() {
     const OVERLOADED: Response = Response::Status(503, "Connection: close\r\n");
@@ -176,7 +176,7 @@
     assert!(drained.requests().is_empty(), "a drained target got a call");
 }
 
-/// Zones that the settings do not name are zones too: a retry that is bound to one stays in it.
+/// A zone counts as such even if the settings do not name it: a retry that is limited to its zone stays in it.
 #[test]
 fn a_retry_stays_in_its_zone_even_if_the_settings_do_not_name_it() {
     let (first, other) = (HttpServer::start(|_| Response::Close), HttpServer::start(|_| OK));
@@ -197,8 +197,9 @@
     assert!(other.requests().is_empty(), "a retry went to another zone");
 }
 
-/// A client may send its next request late; once a part of it has arrived, it gets a response. The request is split
-/// within its head, and the rest arrives after the connection has been open for longer than the idle timeout.
+/// A client may send its next request shortly before the idle timeout: once a part of it has arrived, it gets a
+/// response. The request is split within its head, and the rest arrives after the connection has been open for longer
+/// than the idle timeout.
 #[test]
 fn a_request_that_begins_just_before_the_idle_timeout_gets_a_response() {
     let (_target, _discovery, forwarder) = start_with_one_target(|_| OK);
@@ -214,7 +215,7 @@
             .into();
         clients.into_iter().map(|client| client.join().expect("no panic")).collect()
     });
-    // Some may be late on a slow machine. When such connections were closed as idle, none got a response.
+    // Some requests may be late on a slow machine. When such connections were closed as idle, none got a response.
     assert!(responded.contains(&true), "{responded:?}");
 }
 
@@ -264,7 +265,8 @@
     assert!(old.requests().is_empty(), "a drained target got a call");
 }
 
-/// A list and a fleet of 1024: start, list change, restart while discovery is silent, hot restart and metrics.
+/// A list of 1024 endpoints in a fleet of 1024: start, list change, restart while discovery is silent, hot restart
+/// and metrics.
 #[test]
 fn a_thousand_endpoints_and_replicas_are_supported() {
     const COUNT: u32 = 1024;
@@ -298,7 +300,8 @@
     assert!(old.requests().is_empty(), "a drained target got a call");
 }
 
-/// Clients that send much and disconnect, and responses that never end, leave no descriptor open.
+/// Clients that disconnect in the middle of a large request, and responses that never end, leave no file descriptor
+/// open.
 #[test]
 fn descriptors_of_misbehaving_peers_are_released() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| OK);
--- a/tests/forwarder/harness.rs
+++ b/tests/forwarder/harness.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Longest wait for a condition or a read. On an idle machine conditions hold at once; a busy one needs more time.
+/// Longest wait for a condition or a read. On an idle machine conditions are met quickly; a busy one needs more time.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 /// Polls `condition` until it holds; panics with `description` if it does not hold within [`WAIT_LIMIT`].
@@ -32,7 +32,7 @@
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
     pub received_at: Instant,
-    /// Index of the connection it came on, in order of acceptance.
+    /// Index of the connection that it arrived on, in order of acceptance.
     pub connection: usize,
 }
 
@@ -57,11 +57,11 @@
     OkAndClose,
     /// A status after a delay.
     Delayed(Duration, u16),
-    /// None; the connection stays open.
+    /// No response; the connection stays open.
     Silent,
     /// Status 200 with a chunked body that never ends.
     EndlessBody,
-    /// None; the connection is closed.
+    /// No response; the connection is closed.
     Close,
 }
 
@@ -131,7 +131,7 @@
             let handler = self.handler.lock().unwrap().clone();
             let with_status = |status: u16, headers: &str, body: &[u8]| {
                 let head =
-                    format!("HTTP/1.1 {status} Told\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+                    format!("HTTP/1.1 {status} Status\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
                 [head.as_bytes(), body].concat()
             };
             let response = match handler(&request) {
@@ -181,7 +181,7 @@
         self.requests.lock().unwrap().clone()
     }
 
-    /// The ids of the messages in them.
+    /// The message ids of the requests received so far, in order.
     pub fn message_ids(&self) -> Vec<String> {
         self.requests().iter().map(|request| request.message_id().to_string()).collect()
     }
@@ -243,7 +243,7 @@
         self.list.1.notify_all();
     }
 
-    /// Whether a forwarder has received the present list: it has then asked for the version that follows.
+    /// Whether a forwarder has received the current list: it has then asked for changes since that version.
     pub fn has_sent_list(&self) -> bool {
         let since = format!("since={}&", self.list.0.lock().unwrap().0);
         self.server.requests().iter().any(|request| request.path.contains(&since))
@@ -266,7 +266,7 @@
     }
 }
 
-/// The forwarder as a child process, with its configuration and state. It keeps its address over restarts.
+/// The forwarder as a child process, with its configuration and state. It keeps its client address across restarts.
 pub struct Forwarder {
     /// Where clients connect.
     pub listen_address: SocketAddr,
@@ -300,8 +300,8 @@
     })
 }
 
-/// A free address that no other test uses: each has its own loopback IP address, made from the process id and a
-/// counter.
+/// A free address that nothing else uses: each call returns a loopback IP address of its own, made from the process
+/// id and a counter.
 fn unique_address() -> SocketAddr {
     static NEXT_HOST: AtomicUsize = AtomicUsize::new(1);
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -331,7 +331,7 @@
         forwarder
     }
 
-    /// Restarts it with a limit on open file descriptors.
+    /// Restarts the forwarder with a limit on open file descriptors.
     pub fn restart_with_descriptor_limit(&mut self, max_descriptors: u32) {
         self.kill();
         let mut shell = Command::new("/bin/sh");
@@ -369,8 +369,8 @@
         files.filter_map(|file| Some(file.ok()?.metadata().ok()?.len().div_ceil(512) * 512)).sum()
     }
 
-    /// Replaces the configuration file by one that names another discovery server, whose endpoint list it also holds
-    /// as the known one, and sends SIGHUP.
+    /// Writes the address and the endpoint list of another discovery server to the configuration file and sends
+    /// SIGHUP.
     pub fn reload(&self, discovery: &DiscoveryServer) {
         let path = self.directory.path().join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -387,7 +387,7 @@
         signal(&self.process, name);
     }
 
-    /// Starts a successor, with a new admin address, while the present process runs; returns the latter.
+    /// Starts a successor, with a new admin address, while the current process runs; returns the current process.
     pub fn start_successor(&mut self) -> OldProcess {
         let path = self.directory.path().join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -405,7 +405,7 @@
         self.process.wait().unwrap();
     }
 
-    /// Starts it again after [`Forwarder::kill`] or its exit.
+    /// Starts the forwarder again after [`Forwarder::kill`] or after it has exited.
     pub fn restart(&mut self) {
         self.process = Forwarder::spawn(&self.directory);
         self.wait_until_ready();
@@ -456,7 +456,7 @@
     process.wait().unwrap()
 }
 
-/// Sends bytes on a new connection and returns what is received until that is closed, or nothing if the connection
+/// Sends bytes on a new connection and returns what is received until the connection is closed, or nothing if it
 /// cannot be established.
 pub fn exchange_at(address: SocketAddr, bytes: &[u8]) -> String {
     let Ok(mut stream) = TcpStream::connect(address) else { return String::new() };
--- a/tests/forwarder/main.rs
+++ b/tests/forwarder/main.rs
@@ -1,4 +1,5 @@
-//! The forwarder process among test servers on loopback: forwarding rules, restarts and past failures.
+//! End-to-end tests of the forwarder process with test servers on loopback: forwarding rules, restarts and past
+//! failures.
 
 mod admin;
 mod edge_cases;
@@ -63,7 +64,7 @@
     assert!(forwarder.is_running());
 }
 
-/// Such requests were accepted as messages, and the error responses to them opened the circuit breakers of the
+/// Such requests used to be accepted as messages, and the error responses to them opened the circuit breakers of the
 /// destinations that they named.
 #[test]
 fn requests_that_no_client_sends_reach_no_endpoint() {
@@ -110,8 +111,8 @@
     }
 }
 
-/// The client knows that the message is accepted, whether it closes the connection or, by closing it with unread
-/// bytes, resets it.
+/// The client knows that the message is accepted. It may close the connection, or reset it by closing it with unread
+/// bytes.
 #[test]
 fn a_message_is_sent_though_its_client_disconnects_after_the_202() {
     let (target, _discovery, forwarder) = start_with_one_target(|_| OK);
@@ -182,7 +183,7 @@
 }
 
 /// A connection whose first packet is lost is established a second later. In fleets of 300 its call was then sent
-/// although the destination had asked for a wait meanwhile.
+/// although the destination had meanwhile asked for a pause.
 #[test]
 fn a_call_obeys_a_list_received_while_it_connects() {
     let (late_listener, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), HttpServer::start(|_| OK));
@@ -359,7 +360,7 @@
     }
 }
 
-/// The status line holds even if the rest is invalid or cut off: the message is delivered and needs no notice.
+/// The status line counts even if the rest is invalid or cut off: the message is delivered and needs no notice.
 #[test]
 fn a_200_status_line_means_delivered_however_the_response_ends() {
     let invalid_header = Response::Raw(b"HTTP/1.1 200 OK\r\nthis is no header\r\n\r\n");
@@ -535,7 +536,7 @@
     assert!(discovery.notices().is_empty());
 }
 
-/// A message may arrive in parts split at any byte: once the first part has arrived, a process that is shutting down
+/// A request may arrive in parts split at any byte: once the first part has arrived, a process that is shutting down
 /// still responds to it.
 #[test]
 fn shutdown_waits_for_a_request_that_has_begun_to_arrive() {
@@ -674,7 +675,7 @@
     assert!(discovery.notices().is_empty());
 }
 
-/// Where CPU time is short, a new connection takes turns of the event loop that would make a notice late.
+/// Where CPU time is short, opening a connection takes turns of the event loop and so delays the notice.
 #[test]
 fn notices_reuse_their_connection_and_reconnect_when_it_is_closed() {
     let (_target, discovery, forwarder) = start_with_one_target(|_| OK);
@@ -733,8 +734,8 @@
     assert!(discovery.notices().iter().all(|notice| notice == &("m1".to_string(), "given_up".to_string())));
 }
 
-/// A message that ends with a notice is finished once that is acknowledged. The next message of its order key was sent
-/// before that.
+/// A message that ends with a notice is finished once the notice is acknowledged. The next message of its order key
+/// used to be sent before that.
 #[test]
 fn an_order_key_waits_for_an_earlier_notice_even_after_a_restart() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Status(504, ""));
@@ -777,7 +778,7 @@
     });
 }
 
-/// A send that has waited for a notice is decided again afterwards, by the list received meanwhile.
+/// A send that has waited for a notice is decided again afterwards, by the list received in the meantime.
 #[test]
 fn a_send_obeys_a_list_received_while_it_waits_for_a_notice() {
     let (old, new) = (HttpServer::start(|_| Response::Status(504, "")), HttpServer::start(|_| OK));
@@ -819,8 +820,8 @@
     assert_eq!(old.message_ids(), ["m1"]);
 }
 
-/// One failure ended all calls to a destination that only gets unsafe messages: these avoided it until another
-/// message had been delivered there.
+/// A single failure used to end all calls to a destination that only gets unsafe messages: these were not sent there
+/// until another message had been delivered.
 #[test]
 fn unsafe_messages_alone_retry_a_destination_after_a_failure() {
     let (target, discovery, forwarder) = start_with_one_target(|_| Response::Status(500, ""));
@@ -846,7 +847,8 @@
     assert_ne!(requests[0].connection, requests[1].connection);
 }
 
-/// Lists are fetched from the new address only and notices sent there only, also after a restart.
+/// After the switch, lists are fetched from the new address only and notices are sent there only, also after a
+/// restart.
 #[test]
 fn sighup_switches_discovery_to_the_configured_address() {
     let (old, new) = (HttpServer::start(|_| OK), HttpServer::start(|_| OK));
@@ -936,18 +938,19 @@
     target.requests().iter().skip(1).map(|request| request.connection).collect()
 }
 
-/// Endpoints that allow few connections respond so to one too many. That was taken for a rejection by their rate
-/// limit, and a forwarder that got a connection kept it from the others.
+/// Endpoints that allow few connections respond like this to a connection beyond their limit. That used to be taken
+/// for a rejection by their rate limit, and a forwarder that got a connection kept it from the others.
 #[test]
 fn connections_to_a_target_at_its_connection_limit_are_closed_after_use() {
-    let too_many_connections = b"HTTP/1.1 503 Told\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+    let too_many_connections = b"HTTP/1.1 503 Status\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(connections_after_rejection(Response::RawThenClose(too_many_connections)), [1, 2, 3, 4]);
     // After a rejection by a rate limit the connection is reused.
     let connections = connections_after_rejection(Response::Status(503, ""));
     assert!(connections.windows(2).any(|pair| pair[0] == pair[1]), "{connections:?}");
 }
 
-/// Where the settings allow several messages in one call, each was sent in a call of its own, all at once.
+/// Where the settings allow several messages in one call, each message was sent in a call of its own, all calls at
+/// once.
 #[test]
 fn messages_are_sent_one_per_call_and_slot_even_where_batches_are_allowed() {
     const RESPONSE_DELAY_MS: u64 = 300;
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -7,7 +7,7 @@
 use common::*;
 use hatchline::*;
 
-/// Long enough for the record of a few responses to decay, with the deadlines used here.
+/// Long enough for the record of a few responses to decay, given the deadlines of these tests.
 const IDLE_SPAN: u64 = 60 * SECOND;
 /// A span that has not ended when [`IDLE_SPAN`] has.
 const LONGER_THAN_IDLE: u64 = 300 * SECOND;
@@ -33,7 +33,7 @@
     harness.end_attempt(id, 0, outcome, retry_after);
 }
 
-/// The number of calls that are made within a second for so many new messages, each delivered at once.
+/// Number of calls made within [`SUBMIT_SPAN`] for this number of new messages, each delivered at once.
 fn calls_made_for(harness: &mut PolicyHarness, messages: usize) -> usize {
     let before = harness.attempt_count();
     for _ in 0..messages {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Of a removed endpoint only the id is kept. If a later list has it again, it counts as new.
+/// Only the id of a removed endpoint is kept. If a later list holds the endpoint again, it counts as new.
 #[test]
 fn a_removed_endpoint_is_used_again_once_a_later_list_has_it() {
     let mut harness = PolicyHarness::new(idle_settings(), vec![endpoint(1, 1), endpoint(2, 1)]);
@@ -209,7 +209,7 @@
     harness.assert_no_violations();
 }
 
-/// Deadlines are so short and pauses so long that state is dropped and created again all the time.
+/// Deadlines are so short and pauses so long that state is dropped and created again throughout the run.
 #[test]
 fn every_rule_holds_while_state_is_dropped_and_created_again() {
     const SPARSE: TrafficProfile =
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,12 +1,13 @@
-//! The script that reads the list of tests with known failures: which tests it skips, and which lists it rejects.
+//! Tests of `.ci/known-red`, which reads the list of tests with known failures: which tests it skips, and which lists
+//! it rejects.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 const NAMES: &str = "first\nfirst_of_all\nmodule::second\nthird\nfourth\n";
 
-/// The arguments for the test runner that the script prints for this list, or none if it rejects the list, and its standard
-/// error.
+/// Runs the script on this list. Returns the arguments that it prints for the test runner, `None` if it rejects the
+/// list, and its standard error.
 fn run_script(list: Option<&str>) -> (Option<Vec<String>>, String) {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("KNOWN-RED.txt");
--- a/tests/policy_regressions.rs
+++ b/tests/policy_regressions.rs
@@ -5,8 +5,8 @@
 use common::*;
 use hatchline::*;
 
-/// A harness whose first destination has delivered 60 messages, so that response times are known and the concurrency
-/// window is wide.
+/// A harness that has delivered 60 messages to its first destination, so that response times are known and the
+/// concurrency window is wide.
 fn warm_harness(settings: Settings, endpoints: Vec<Endpoint>, class: usize) -> PolicyHarness {
     let mut harness = PolicyHarness::new(settings, endpoints);
     for _ in 0..60 {
@@ -63,13 +63,13 @@
     harness.assert_no_violations();
 }
 
-/// Where a call carried several messages, the retry-after time of any but the first message used to be ignored.
+/// Where a call carried several messages, the Retry-After of any but the first message used to be ignored.
 #[test]
 fn the_retry_after_of_any_message_in_a_batch_is_respected() {
     let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
     settings.batch_by_kind = vec![4];
     let mut harness = warm_harness(settings, vec![endpoint(1, 1)], 0);
-    // Blocks the destination for a while, so that one call then carries several messages.
+    // Blocks the destination for a while, so that the next call carries several messages.
     let id = harness.submit(0, 1, 0);
     harness.end_attempt(id, 0, Outcome::Rejected, 500 * MILLISECOND);
     let ids: Vec<_> = (0..3).map(|_| harness.submit(0, 1, 0)).collect();
@@ -232,8 +232,8 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::Send { .. })));
 }
 
-/// Attempts that one of so many replicas makes within `span` after a destination began to fail with this outcome, or not to
-/// respond at all. The retry-after time of its responses ends at a multiple of `interval`.
+/// Number of attempts that one of `replicas` replicas makes within `span` after a destination began to fail with this
+/// outcome, or not to respond at all. The Retry-After of its responses ends at a multiple of `interval`.
 fn attempts_while_failing(replicas: u32, span: u64, outcome: Option<Outcome>, interval: u64) -> usize {
     let mut settings = settings(vec![class(RetrySafety::Repeatable)]);
     settings.replicas = replicas;
@@ -255,7 +255,8 @@
     harness.attempt_count() - before
 }
 
-/// A retry-after time that always ends at a multiple of the interval, as a destination that opens at fixed times sends it.
+/// A Retry-After that ends at the next multiple of the interval, as sent by a destination that opens at fixed times;
+/// 0 if the interval is 0.
 fn time_to_next_multiple(interval: u64, now: u64) -> u64 {
     if interval == 0 {
         0
@@ -264,8 +265,8 @@
     }
 }
 
-/// Hundreds of replicas, each with a message or two, called a destination that rejected calls, was down or was closed.
-/// Together they did so often enough to keep it down, or to overload it on its return.
+/// Hundreds of replicas, each with a message or two, called a destination that rejected calls, was down or was
+/// closed. Together they did so often enough to keep it down, or to overload it on its return.
 #[test]
 fn replicas_of_a_large_fleet_rarely_call_a_failing_destination() {
     for (outcome, retry_after) in [
@@ -289,7 +290,7 @@
     }
 }
 
-/// Endpoints that accept few connections used to be filled by the idle connections of scores of replicas.
+/// Scores of replicas used to fill the connection limit of an endpoint with idle connections.
 #[test]
 fn a_connection_is_closed_after_use_where_one_failed_or_the_next_use_is_far_off() {
     let closes = |harness: &PolicyHarness| {
@@ -338,7 +339,7 @@
     harness.assert_no_violations();
 }
 
-/// On a host short of processor time, a result that was decided at the deadline used to reach the client 200 ms after it.
+/// On a host short of CPU time, a result that was decided at the deadline used to reach the client 200 ms after it.
 #[test]
 fn messages_end_before_their_deadline_by_the_processing_lag() {
     const LAG: u64 = 200 * MILLISECOND;
@@ -369,7 +370,7 @@
     }
 }
 
-/// A call that the end of the process interrupts may have run; for an unsafe message, that rules out a retry.
+/// A call that the end of the process interrupts may have run; an unsafe message can then not be retried.
 #[test]
 fn no_call_starts_that_would_not_finish_before_shutdown() {
     let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
@@ -417,7 +418,8 @@
 }
 
 /// The oldest messages held for a destination with an open circuit breaker had been withdrawn by their clients. Each
-/// half-open probe was used on one of those, which is never sent and so says nothing: the breaker never closed again.
+/// half-open probe was spent on one of them, which is never sent and so shows nothing: the breaker never closed
+/// again.
 #[test]
 fn withdrawn_messages_do_not_use_up_half_open_probes() {
     let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
@@ -443,8 +445,8 @@
     harness.assert_no_violations();
 }
 
-/// A backlog of some seconds was sent oldest first, so that all later messages were late too, for as long as messages
-/// arrived about as fast as they could be delivered.
+/// A backlog of several seconds was sent oldest first, which made all later messages late too, for as long as
+/// messages arrived about as fast as they could be delivered.
 #[test]
 fn a_stale_backlog_does_not_make_later_messages_late() {
     let mut harness = warm_harness(settings(vec![class(RetrySafety::Repeatable)]), vec![endpoint(1, 1)], 0);
@@ -496,8 +498,8 @@
     assert!(retry_afters(false).iter().all(|retry_after| *retry_after == 0));
 }
 
-/// An endpoint that operators have disabled gets no calls, whatever the list says. Once enabled it is treated as cold: it
-/// gets one call at a time, at intervals.
+/// An endpoint that operators have disabled gets no calls, whatever the list says. Once enabled it is treated as
+/// cold: it gets one call at a time, at intervals.
 #[test]
 fn a_disabled_endpoint_gets_no_calls_and_starts_slowly_once_enabled() {
     let mut harness = PolicyHarness::new(
@@ -585,7 +587,8 @@
     assert_eq!(uninterrupted.len(), handed_over.len());
 }
 
-/// Where two classes waited at a rate limit and one had a tenth of the other's worth, that one used to get nothing.
+/// Where two classes waited at a rate limit and one had a tenth of the worth of the other, that one used to get
+/// nothing.
 #[test]
 fn a_class_of_low_worth_is_not_starved() {
     let high = Class { worth: 4.0, ..class(RetrySafety::Repeatable) };
--- a/tests/recorded_actions.rs
+++ b/tests/recorded_actions.rs
@@ -1,6 +1,6 @@
-//! Recorded runs: the same events must lead to the same actions as when the runs were recorded. At that time, the policy
-//! kept the state of all listed destinations and went through it at each decision. `tests/fixtures/actions.txt` holds one
-//! line per run: its name, the number of actions, and a checksum of the actions with their times.
+//! Recorded runs: the same events must lead to the same actions as when the runs were recorded, with a policy that
+//! kept the state of all listed destinations and went through it at each decision. `tests/fixtures/actions.txt` holds
+//! one line per run: its name, the number of actions, and a checksum of the actions with their times.
 //!
 //! A commit that changes decisions on purpose, and says so, records the runs again:
 //! `RECORD_ACTIONS=1 cargo test --test recorded_actions`. One that changes only performance or structure must not.
@@ -13,7 +13,7 @@
 use std::cell::RefCell;
 
 const RECORDING_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/actions.txt");
-/// The number of runs as in `tests/properties.rs`, and of longer runs over many destinations.
+/// Number of runs of random steps, as in `tests/properties.rs`, and number of longer runs over many destinations.
 const SHORT_RUNS: u32 = 120;
 const TRAFFIC_RUNS: u64 = 120;
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Messages that a restart restores from the write-ahead log still have to be delivered. Tested through the public interface
+//! Messages that a restart restores from the write-ahead log are still delivered. Tested through the public interface
 //! of the delivery policy.
 
 mod common;
@@ -43,7 +43,8 @@
         self.policy.handle(self.now, event, &mut self.actions);
     }
 
-    /// Restores a message that has so much time left; `first_run` is the start and zone of an attempt before the restart.
+    /// Restores a message with this time left until its deadline; `first_run` is the start and zone of an attempt
+    /// before the restart.
     fn restore(&mut self, id: MessageId, time_left: u64, order_key: u64, first_run: Option<(u64, u32)>) {
         let attempts = first_run.map(|_| Outcome::Reset).into_iter().collect();
         let expires = self.now + time_left;
@@ -98,8 +99,8 @@
     }
 }
 
-/// The policy keeps some room below the limit on held messages. After a start, it used to make that room by failing messages
-/// restored from the write-ahead log.
+/// The policy keeps some room below the limit on held messages. After a restart, it used to make that room by failing
+/// messages restored from the write-ahead log.
 #[test]
 fn restored_messages_are_not_dropped_to_make_room() {
     let mut settings = settings(vec![class(RetrySafety::Keyed)]);
@@ -150,8 +151,8 @@
     assert!(restarted.first_sent_at[&3] >= start + 5 * SECOND, "{:?}", restarted.first_sent_at);
 }
 
-/// With an even share of the rate limit, each replica of a fleet of 300 made its first call within 10 s. Where deadlines are
-/// short, most of the restored messages had expired by then.
+/// With its equal share of the rate limit, each replica of a fleet of 300 made its first call within 10 s. Where
+/// deadlines are short, most of the restored messages had expired by then.
 #[test]
 fn restored_messages_get_a_call_before_they_expire() {
     let mut settings = settings(vec![class(RetrySafety::Keyed)]);
--- a/tests/unsafe_messages.rs
+++ b/tests/unsafe_messages.rs
@@ -1,5 +1,5 @@
-//! Messages that must never take effect twice are lost by an attempt without a response. They wait while a route fails, but
-//! only as long as other messages find out whether it works.
+//! An attempt without a response loses a message that must never take effect twice, since it cannot be retried. Such
+//! messages wait while a route fails, but only as long as other messages show whether the route works.
 
 mod common;
 
@@ -13,7 +13,8 @@
 const RESPONSE_TIME: u64 = 80 * MILLISECOND;
 const MESSAGE_INTERVAL: u64 = 200 * MILLISECOND;
 
-/// Two destinations with one endpoint each, the first of which has delivered messages of this class for a while.
+/// A harness with two destinations of one endpoint each, the first of which has received messages of this class for a
+/// while.
 fn warm_harness(class_of_first: usize) -> PolicyHarness {
     let classes = vec![class(RetrySafety::Repeatable), class(RetrySafety::Unsafe)];
     let mut harness = PolicyHarness::new(settings(classes), vec![endpoint(1, 1), endpoint(2, 2)]);
@@ -77,8 +78,8 @@
     harness.assert_no_violations();
 }
 
-/// A destination that has delivered unsafe messages for a while, three of which have just been reset. The smoothed failure
-/// rate is above one half by then, so that the circuit breaker is open.
+/// A harness whose first destination has received unsafe messages for a while, until three calls were reset. The
+/// smoothed failure rate is above one half by then, so that the circuit breaker is open.
 fn harness_with_open_breaker() -> PolicyHarness {
     let mut harness = warm_harness(UNSAFE);
     (0..3).for_each(|_| submit_with_reset(&mut harness, UNSAFE, 1));
@@ -102,8 +103,8 @@
     harness.assert_no_violations();
 }
 
-/// Each message that is sent while the destination is down is lost, but those that wait are not, and its return is noticed
-/// soon.
+/// Each message that is sent while the destination is down is lost, but those that wait are not, and its return is
+/// noticed soon.
 #[test]
 fn unsafe_messages_resume_soon_after_the_return_of_a_destination_without_other_traffic() {
     let mut harness = harness_with_open_breaker();
