--- a/test.sh
+++ b/test.sh
@@ -9,6 +9,6 @@
 cargo build --locked --release
 names=$(cargo test --locked --workspace -- --list | sed -n 's/: test$//p')
 skips=$(.ci/known-red KNOWN-RED.txt <<<"$names")
-# Test names hold no spaces, so $skips is split into arguments. --exact keeps a test whose name contains that of a skipped
-# one from being skipped too.
+# $skips is unquoted to be split into arguments: test names contain no spaces. Without --exact, --skip would also skip
+# every test whose name contains the name of a skipped one.
 cargo test --locked --workspace -- --exact $skips
