--- a/scale/src/discovery/fleet.rs
+++ b/scale/src/discovery/fleet.rs
@@ -61,7 +61,7 @@
     clients: Vec<Option<JoinHandle<()>>>,
 }
 
-/// Settings that all replicas share.
+/// Settings of a fleet, the same for all replicas.
 #[derive(Debug)]
 pub(super) struct FleetSettings {
     pub options: ClientOptions,
@@ -92,7 +92,7 @@
         (0..self.clients.len()).for_each(|replica| self.start(replica));
     }
 
-    /// Starts a replica with the list version that it had last.
+    /// Starts a replica with the list version that it last had.
     pub fn start(&mut self, replica: usize) {
         self.server.end_watch(replica);
         let version = self.propagation.replica_started(replica);
--- a/scale/src/discovery/plan.rs
+++ b/scale/src/discovery/plan.rs
@@ -1,4 +1,4 @@
-//! What the experiment runs: its points, and the timed events of a run.
+//! What the experiment runs: its points, and the timed actions of a run.
 
 use crate::discovery::arguments::DiscoveryArguments;
 use crate::discovery::settings::{
@@ -20,7 +20,7 @@
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// Delay from the stall of the open watches to a list change that they miss.
 const MISSED_CHANGE_DELAY: Duration = Duration::from_millis(100);
-/// The zone that fails.
+/// Zone whose endpoints and replicas fail in the case of a zone outage.
 pub(super) const FAILING_ZONE: usize = 0;
 
 /// What happens in a run besides steady list changes.
@@ -57,7 +57,7 @@
     pub replicas: usize,
 }
 
-/// Everything that the experiment runs.
+/// Plan of the whole experiment.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub scenario_name: String,
@@ -67,7 +67,7 @@
 }
 
 impl Plan {
-    /// Combines the scenario and the arguments.
+    /// Builds the plan from the scenario and the arguments.
     pub fn load(arguments: &DiscoveryArguments) -> Result<Plan, ScaleError> {
         let file = match &arguments.common.scenario {
             Some(path) => ScenarioFile::read(path)?,
@@ -114,7 +114,7 @@
     check("silence.unreachable_s", silence.unreachable_s.span(), end)
 }
 
-/// An event of a simulated run.
+/// An action on the simulated fleet or its discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum SimulationAction {
     /// The listed rate of one endpoint changes.
@@ -127,7 +127,7 @@
     RemoveZone(usize),
     /// The endpoints of a zone are listed again.
     RestoreZone(usize),
-    /// The watches that are open now never get a response.
+    /// The watches that are open at this time never get a response.
     StallOpenWatches,
     /// Discovery is unreachable until this time after the start of the measurement.
     MakeUnreachable { until: Duration },
@@ -135,7 +135,7 @@
     MakeReachable,
 }
 
-/// An action, and its time after the warm-up.
+/// An action, and its time since the start of the measurement.
 #[derive(Clone, Debug)]
 pub(super) struct ScheduledAction {
     pub at: Duration,
--- a/scale/src/discovery/propagation.rs
+++ b/scale/src/discovery/propagation.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A forwarder must apply a change within this time after discovery has it and is reachable, whether or not it
-/// has arrived.
+/// A list change is binding for a forwarder this long after discovery has it and is reachable, whether or not the
+/// forwarder has received it.
 pub(super) const BINDING_DELAY: Duration = Duration::from_secs(6);
 /// Longest recorded time, and significant digits of the histogram.
 const HISTOGRAM_MAX: Duration = Duration::from_secs(86_400);
@@ -16,7 +16,7 @@
 const P99_QUANTILE: f64 = 0.99;
 const MEDIAN_QUANTILE: f64 = 0.5;
 
-/// What is known of one replica.
+/// List version and start time of one replica.
 #[derive(Clone, Copy, Debug)]
 struct ReplicaState {
     version: u64,
--- a/scale/src/discovery/run.rs
+++ b/scale/src/discovery/run.rs
@@ -1,4 +1,4 @@
-//! One run of a point on tokio's paused clock: time advances only while all tasks wait for it.
+//! One run of a point on tokio's paused clock: time advances only while all tasks wait for time to pass.
 
 use crate::discovery::fleet::{Fleet, FleetSettings};
 use crate::discovery::plan::{schedule, Point, SimulationAction};
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(super) struct DiscoveryServer {
     address: SocketAddr,
-    /// Whether limits apply at all. An agent beside each replica has none.
+    /// Whether the service limits its load. An agent beside each replica (pushed mode) has no limits.
     has_limits: bool,
     response_time: Duration,
     time_per_entry: Duration,
@@ -44,17 +44,18 @@
     generation: u64,
 }
 
-/// How a call is admitted.
+/// Whether and how a call is admitted.
 enum Admission<'a> {
     /// The call waits for a response slot.
     Queued,
     /// The call gets a response at once, in a reserved slot.
     Immediate(SemaphorePermit<'a>),
+    /// The call is rejected.
     Rejected,
 }
 
 impl DiscoveryServer {
-    /// A service whose limits do not apply yet.
+    /// Creates a service whose limits are not active yet.
     pub fn new(
         scenario: &DiscoveryScenario, address: SocketAddr, replicas: usize, meter: TrafficMeter,
     ) -> DiscoveryServer {
@@ -111,7 +112,7 @@
         self.lock().is_reachable = is_reachable;
     }
 
-    /// Ends the watch of a replica, because it has a new process.
+    /// Ends the watch of a replica, because the replica runs in a new process.
     pub fn end_watch(&self, replica: usize) {
         self.lock().last_responses[replica] = None;
     }
--- a/scale/src/fleet/cold_load.rs
+++ b/scale/src/fleet/cold_load.rs
@@ -1,4 +1,5 @@
-//! Load on a destination that is cold after an outage: what the contract allows, and the worst that occurred.
+//! Load on a destination that is cold after an outage: the calls that the contract allows, and the worst windows that
+//! occurred.
 
 use crate::deployment::SECOND;
 use hatchline::{DestinationContract, Micros};
--- a/scale/src/fleet/metrics.rs
+++ b/scale/src/fleet/metrics.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::ops::Range;
 
-/// Number of responses of a route from which on the policy uses its measured timeout.
+/// Number of responses from which on the policy uses the measured timeout of a route.
 const MIN_RESPONSES_FOR_MEASURED_TIMEOUT: u32 = 20;
 /// Fraction of messages delivered within their aim from which on service counts as recovered.
 const RECOVERED_SHARE: f64 = 0.9;
@@ -31,10 +31,10 @@
     /// Fraction of all pairs with enough responses for a measured timeout.
     #[serde(rename = "pairs_trusted_share")]
     pub pairs_with_measured_timeout_share: f64,
-    /// Time in which a pair gets that many responses, at the mean rate of the phase; `None` without responses.
+    /// Time in which a pair gets that many responses, at the mean rate of the steady phase; `None` without responses.
     #[serde(rename = "seconds_until_trusted")]
     pub seconds_until_measured_timeout: Option<f64>,
-    /// Fraction of the phase's messages that were delivered within their aim.
+    /// Fraction of the messages of the steady phase that were delivered within their aim.
     pub within_aim_share: Option<f64>,
 }
 
--- a/scale/src/fleet/replica.rs
+++ b/scale/src/fleet/replica.rs
@@ -42,7 +42,7 @@
 
 /// A simulated replica.
 ///
-/// It starts at the start of the simulation. While it has neither messages nor calls, only its timers affect it: they
+/// It starts with the simulation. While it has neither messages nor calls in flight, only its timers affect it; they
 /// are processed late, before its next event.
 #[derive(Debug)]
 pub(super) struct Replica {
@@ -99,7 +99,7 @@
         true
     }
 
-    /// Whether its timers may cause any action but further timers.
+    /// Whether a timer of the replica may cause an action other than setting another timer.
     pub fn is_busy(&self) -> bool {
         self.pending_messages > 0 || self.calls_in_flight > 0
     }
--- a/scale/src/instance/configuration.rs
+++ b/scale/src/instance/configuration.rs
@@ -74,7 +74,7 @@
     effect: &'static str,
 }
 
-/// What the destinations and discovery are promised.
+/// Obligations of the forwarder towards destinations and discovery.
 #[derive(Debug, Serialize)]
 struct Contract {
     ask_within: u64,
--- a/scale/src/instance/discovery_server.rs
+++ b/scale/src/instance/discovery_server.rs
@@ -104,7 +104,7 @@
 impl Handler for DiscoveryServer {
     async fn respond(&self, request: Request<Bytes>) -> Response<Full<Bytes>> {
         if request.method() == Method::POST {
-            // A report of a message that was not delivered.
+            // A notice that a message was not delivered.
             return status(StatusCode::NO_CONTENT);
         }
         let query = request.uri().query().unwrap_or_default();
--- a/scale/src/instance/plan.rs
+++ b/scale/src/instance/plan.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Everything that the experiment runs.
+/// Plan of the whole experiment.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub scenario_name: String,
@@ -75,7 +75,7 @@
 }
 
 impl Plan {
-    /// Combines the scenario and the arguments.
+    /// Builds the plan from the scenario and the arguments.
     pub fn load(arguments: &InstanceArguments) -> Result<Plan, ScaleError> {
         let file = ScenarioFile::load(
             arguments.common.scenario.as_deref(),
@@ -162,7 +162,8 @@
     path.canonicalize().map_err(invalid_path)
 }
 
-/// In the target directory, which has a directory for each profile; this tool's binary is in one of them.
+/// Default path: in the target directory, which has a directory for each profile. This tool's binary is in one of
+/// them.
 fn default_binary() -> Result<PathBuf, ScaleError> {
     let own_binary = std::env::current_exe()?;
     let target_directory = own_binary.ancestors().nth(2).unwrap_or(Path::new("."));
--- a/scale/src/instance/run.rs
+++ b/scale/src/instance/run.rs
@@ -30,7 +30,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Interval between two checks for an interrupt.
 const INTERRUPT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The forwarder reads the last response and writes its log within this delay.
+/// Time within which the forwarder reads the last response and writes its log.
 const POST_DELIVERY_DELAY: Duration = Duration::from_millis(50);
 
 /// What one run measured.
@@ -123,7 +123,7 @@
     time_to_list: Duration,
 }
 
-/// An HTTP server with its handler.
+/// A simulated discovery service or destination: an HTTP server with its handler.
 struct SimulatedServer<H> {
     handler: Arc<H>,
     server: HttpServer,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The forwarders' environment in a run: simulated servers and directories.
+/// Environment of the forwarders in a run: simulated servers, and a directory for each forwarder.
 struct RunEnvironment<'a> {
     plan: &'a Plan,
     point: &'a Point,
@@ -360,7 +360,7 @@
     )))
 }
 
-/// CPU time per process and second over a period, the mean over the processes.
+/// CPU time per process and second over an idle period, the mean over the processes.
 async fn measure_idle_cpu(forwarders: &[Forwarder], duration: Duration) -> Result<f64, InstanceError> {
     let (started_at, cpu_time_before) = (Instant::now(), total_cpu_time(forwarders)?);
     sleep(duration).await;
--- a/scale/src/interrupt.rs
+++ b/scale/src/interrupt.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
 
-/// The interrupt flag of this process. It has one handler, however many experiments run.
+/// The interrupt flag of this process. The signal handler is installed once, however many experiments run.
 static INSTALLED: OnceLock<Interrupt> = OnceLock::new();
 
 /// Tells whether the user has interrupted the experiment by SIGINT (Ctrl-C), SIGTERM or SIGHUP.
--- a/scale/src/policy/plan.rs
+++ b/scale/src/policy/plan.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A deployment size that is measured.
+/// One size of deployment to measure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Point {
     pub series: Series,
--- a/scale/src/policy/run.rs
+++ b/scale/src/policy/run.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Virtual time over which periodic maintenance is measured.
+/// Virtual time over which the CPU time of periodic maintenance is measured.
 const MAINTENANCE_SPAN: Micros = SECOND;
 /// Retry-After of destinations with a backlog. It exceeds the duration of a run, so that their messages stay held.
 const BACKLOG_RETRY_AFTER: Micros = 3_600 * SECOND;
--- a/scale/src/policy/simulation.rs
+++ b/scale/src/policy/simulation.rs
@@ -1,8 +1,8 @@
 //! A simulated forwarder on a virtual clock: feeds events to the delivery policy, executes its actions and counts
 //! both.
 //!
-//! Events of one point in time are passed in together, as the forwarder does. Timers are processed apart from and
-//! before the traffic of the same time, so that the CPU time of periodic maintenance is separate from that of
+//! Events of the same time are passed to the policy together, as the forwarder does. Timers are processed apart from
+//! and before the traffic of the same time, so that the CPU time of periodic maintenance is separate from that of
 //! requests.
 
 use crate::call::Call;
@@ -21,7 +21,7 @@
 /// Initial time of the virtual clock.
 const START: Micros = 5_000_000;
 
-/// Number of events and actions so far; the same for the same seed.
+/// Numbers of events and actions so far; the same for the same seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Counts {
     /// Messages submitted.
--- a/scale/tests/all.rs
+++ b/scale/tests/all.rs
@@ -1,4 +1,4 @@
-//! Runs `scale all` with small scenarios.
+//! Tests of `scale all` through its binary, on small scenarios.
 
 mod common;
 
--- a/scale/tests/common/mod.rs
+++ b/scale/tests/common/mod.rs
@@ -74,6 +74,7 @@
     text.lines().map(|line| serde_json::from_str(line).expect(line)).collect()
 }
 
+/// Records whose `record` field is `record_type`.
 pub fn records_of_type<'a>(records: &'a [Value], record_type: &str) -> Vec<&'a Value> {
     records.iter().filter(|record| record["record"] == record_type).collect()
 }
@@ -88,7 +89,8 @@
     error
 }
 
-/// A line of a scenario, its invalid replacement, the number of the line, its key, and a part of the error message.
+/// An invalid line of a scenario: the valid line, its invalid replacement, the line number, the key, and a part of
+/// the error message.
 pub type InvalidLine = (&'static str, &'static str, usize, &'static str, &'static str);
 
 /// Checks that each invalid line is reported with file, line and key.
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Runs `scale discovery` with small scenarios.
+//! Tests of `scale discovery` through its binary, on a small scenario.
 
 mod common;
 
@@ -8,7 +8,7 @@
 };
 use serde_json::Value;
 
-/// A scenario that runs quickly.
+/// A small scenario that runs quickly.
 const SCENARIO: &str = include_str!("common/small_discovery.toml");
 const ARGUMENTS: [&str; 5] = ["discovery", "--scenario", "small.toml", "--json", "out.jsonl"];
 const CASES: [&str; 4] = ["steady_changes", "rolling_restart", "zone_outage", "silence"];
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -8,9 +8,9 @@
 };
 use serde_json::Value;
 
-/// Small scenario: two fleet sizes and 100 s of virtual time.
+/// A small scenario: two fleet sizes and 100 s of virtual time.
 const SCENARIO: &str = include_str!("common/small_fleet.toml");
-/// Calls that the contract allows in a window: right after the outage, and from the end of the ramp on.
+/// Calls that the contract allows in a window: in one right after the outage, and in one from the end of the ramp on.
 const ALLOWED_CALLS_WHEN_COLD: f64 = 9.62;
 const ALLOWED_CALLS_WHEN_WARM: f64 = 29.42;
 
--- a/scale/tests/instance.rs
+++ b/scale/tests/instance.rs
@@ -1,4 +1,4 @@
-//! Runs `scale instance` with small scenarios and real forwarder processes.
+//! Tests of `scale instance` through its binary, on a small scenario and with real forwarder processes.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// A scenario that takes a few seconds.
+/// A small scenario that takes a few seconds.
 const SCENARIO: &str = include_str!("common/small_instance.toml");
-/// Number of destinations whose list is longer than the 4 MiB that the forwarder reads.
+/// Number of destinations whose list exceeds the 4 MiB that the forwarder reads.
 const TOO_MANY_LISTED: &str = "40000";
 /// Number of messages for which the write-ahead log of the scenario has no space.
 const TOO_MANY_HELD: &str = "3000";
@@ -108,7 +108,8 @@
     assert!(reason.starts_with("the list has ") && line.ends_with(reason), "{line}");
 }
 
-/// Each process requests the list once: together more often than one forwarder may before its list is unsupported.
+/// Each process requests the list once: together they request it more often than a single forwarder may before its
+/// list counts as unsupported.
 #[test]
 fn many_processes_load_the_same_list() {
     let directory = TestDirectory::with_scenario(SCENARIO);
@@ -135,7 +136,7 @@
     let own_directory = tempfile::tempdir_in(forwarder_binary().parent().unwrap()).unwrap();
     let binary = own_directory.path().join("foldtrack");
     std::fs::hard_link(forwarder_binary(), &binary).unwrap();
-    // Many more runs than complete before the interrupt.
+    // Many more runs than can complete before the interrupt.
     let arguments = arguments_with(&binary, &["--series", "processes", "--runs", "1000"]);
     let output = directory.scale_interrupted_after(&arguments, "run measured");
     assert_eq!(output.status.code(), Some(STATUS_INTERRUPTED), "{output:?}");
--- a/scale/tests/policy.rs
+++ b/scale/tests/policy.rs
@@ -7,7 +7,7 @@
     TestDirectory, STATUS_INTERRUPTED,
 };
 
-/// Small scenario that runs quickly.
+/// A small scenario that runs quickly.
 const SCENARIO: &str = include_str!("common/small_policy.toml");
 
 #[test]
--- a/scale/tests/process.rs
+++ b/scale/tests/process.rs
@@ -5,8 +5,8 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// Tolerance of some units of both sources, which may lag: the kernel updates the time of a running thread only now
-/// and then.
+/// Tolerance of several units of both sources. Both may lag: the kernel updates the CPU time of a running thread only
+/// now and then.
 const TOLERANCE: Duration = Duration::from_millis(40);
 /// CPU time after which the comparison is meaningful.
 const MIN_CPU_TIME: Duration = Duration::from_millis(200);
