--- a/scale/src/instance/destination_server.rs
+++ b/scale/src/instance/destination_server.rs
@@ -17,7 +17,7 @@
 pub(super) enum DestinationBehavior {
     /// Delivers each message after this service time.
     Deliver(Duration),
-    /// Rejects each message with a long Retry-After delay.
+    /// Rejects each message with a long Retry-After.
     Reject,
 }
 
--- a/scale/src/instance/run.rs
+++ b/scale/src/instance/run.rs
@@ -222,7 +222,7 @@
         };
         let listen = started.forwarders[0].addresses.listen;
         let expected = self.point.held;
-        // The first message to each destination is rejected with a Retry-After delay. Later ones wait for its end.
+        // The first message to each destination is rejected with a Retry-After. Later ones wait for its end.
         let first = self.plan.rejecting_destinations.min(expected);
         let mut accepted = self.submit_held_messages(listen, first).await?;
         if accepted == first {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -363,7 +363,7 @@
         }
         let attempt = Attempt { target, sent_at: self.now, times_out_at, outcome: None };
         self.messages.get_mut(&id).unwrap().attempts.push(attempt);
-        if self.settings.batch_by_kind.iter().all(|b| *b == 1) {
+        if self.settings.batch_by_kind.iter().all(|batch_size| *batch_size == 1) {
             let in_flight = self.attempts_in_flight();
             let to_destination = in_flight
                 .iter()
--- a/tests/forwarder/hot_restart.rs
+++ b/tests/forwarder/hot_restart.rs
@@ -112,7 +112,7 @@
         assert_eq!(forwarder.submit(&fee_message(&format!("n{n}")).to(2)), 202);
     }
     wait_until("the target receives the calls", || other.requests().len() == 6);
-    wait_until("the target receives a call after its retry-after", || rejecting.requests().len() == 2);
+    wait_until("the target receives a call after its Retry-After", || rejecting.requests().len() == 2);
     assert!(rejecting.requests()[1].received_at - rejecting.requests()[0].received_at >= MILLIS(4_000));
     assert!(disabled.requests().is_empty());
     assert_eq!(status_code(&forwarder.admin_request("POST", "/-/endpoints/s-3/enable")), "200");
--- a/tests/idleness.rs
+++ b/tests/idleness.rs
@@ -85,8 +85,8 @@
 
 const CASES: [Case; 11] = [
     Case {
-        name: "a retry-after time",
-        settings: |s| s.contract.overload_duration = LONGER_THAN_IDLE,
+        name: "a Retry-After",
+        settings: |settings| settings.contract.overload_duration = LONGER_THAN_IDLE,
         prepare: |harness| make_call(harness, Outcome::Ok, LONGER_THAN_IDLE),
         is_preserved: gets_no_calls,
     },
@@ -104,7 +104,7 @@
     },
     Case {
         name: "a slow start",
-        settings: |s| s.contract.ramp_time = LONGER_THAN_IDLE,
+        settings: |settings| settings.contract.ramp_time = LONGER_THAN_IDLE,
         prepare: |harness| {
             open_breaker(harness);
             // Enough successes for the failure rate to fall below all thresholds.
@@ -144,7 +144,7 @@
     },
     Case {
         name: "an endpoint that was enabled again and may be cold",
-        settings: |s| s.contract.ramp_time = LONGER_THAN_IDLE,
+        settings: |settings| settings.contract.ramp_time = LONGER_THAN_IDLE,
         prepare: |harness| {
             harness.process(Event::EndpointAdminState { target: 1, disabled: true });
             harness.process(Event::EndpointAdminState { target: 1, disabled: false });
@@ -176,7 +176,7 @@
     },
     Case {
         name: "response times, where a class has a long deadline",
-        settings: |s| s.classes[1].deadline = IDLE_SPAN,
+        settings: |settings| settings.classes[1].deadline = IDLE_SPAN,
         prepare: |harness| make_call(harness, Outcome::Ok, 0),
         is_preserved: has_state,
     },
--- a/tests/policy_regressions.rs
+++ b/tests/policy_regressions.rs
@@ -281,11 +281,11 @@
         );
         assert!(
             many <= 8,
-            "{outcome:?}, retry after {retry_after}: {many} attempts in 18 s, {few} as one of two"
+            "{outcome:?}, Retry-After {retry_after}: {many} attempts in 18 s, {few} as one of two"
         );
         assert!(
             few >= many,
-            "{outcome:?}, retry after {retry_after}: {few} attempts as one of two, {many} among many"
+            "{outcome:?}, Retry-After {retry_after}: {few} attempts as one of two, {many} among many"
         );
     }
 }
