--- a/scale/src/instance/run.rs
+++ b/scale/src/instance/run.rs
@@ -30,7 +30,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Interval between two checks for an interrupt.
 const INTERRUPT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The forwarder reads the last response and writes its log within this delay.
+/// Time within which the forwarder reads the last response and writes its log.
 const POST_DELIVERY_DELAY: Duration = Duration::from_millis(50);
 
 /// What one run measured.
@@ -123,38 +123,38 @@
     time_to_list: Duration,
 }
 
-/// An HTTP server with its handler.
-struct MockServer<H> {
+/// A simulated discovery service or destination: an HTTP server with its handler.
+struct SimulatedServer<H> {
     handler: Arc<H>,
     server: HttpServer,
 }
 
-impl<H: Handler> MockServer<H> {
-    async fn start(handler: H) -> Result<MockServer<H>, InstanceError> {
+impl<H: Handler> SimulatedServer<H> {
+    async fn start(handler: H) -> Result<SimulatedServer<H>, InstanceError> {
         let handler = Arc::new(handler);
         let server = HttpServer::start(handler.clone()).await;
         let server = server.map_err(InstanceError::during("starting a simulated server"))?;
-        Ok(MockServer { handler, server })
+        Ok(SimulatedServer { handler, server })
     }
 }
 
-/// The forwarders' environment in a run: simulated servers and directories.
+/// Environment of the forwarders in a run: simulated servers, and a directory for each forwarder.
 struct RunEnvironment<'a> {
     plan: &'a Plan,
     point: &'a Point,
     directory: TempDir,
     destinations: Destinations,
-    discovery: MockServer<DiscoveryServer>,
-    serving: MockServer<DestinationServer>,
-    rejecting: MockServer<DestinationServer>,
+    discovery: SimulatedServer<DiscoveryServer>,
+    serving: SimulatedServer<DestinationServer>,
+    rejecting: SimulatedServer<DestinationServer>,
     next_id: Arc<AtomicU64>,
 }
 
 impl<'a> RunEnvironment<'a> {
     async fn start(plan: &'a Plan, point: &'a Point) -> Result<RunEnvironment<'a>, InstanceError> {
         let deliver = DestinationBehavior::Deliver(milliseconds(plan.workload.service_time_ms));
-        let serving = MockServer::start(DestinationServer::new(deliver)).await?;
-        let rejecting = MockServer::start(DestinationServer::new(DestinationBehavior::Reject)).await?;
+        let serving = SimulatedServer::start(DestinationServer::new(deliver)).await?;
+        let rejecting = SimulatedServer::start(DestinationServer::new(DestinationBehavior::Reject)).await?;
         let destinations = Destinations {
             listed: point.listed,
             rejecting: if point.series == Series::Held { plan.rejecting_destinations } else { 0 },
@@ -164,7 +164,8 @@
         };
         let list = DiscoveryServer::new(&destinations).map_err(io::Error::from);
         let discovery =
-            MockServer::start(list.map_err(InstanceError::during("encoding the endpoint list"))?).await?;
+            SimulatedServer::start(list.map_err(InstanceError::during("encoding the endpoint list"))?)
+                .await?;
         let directory =
             tempfile::tempdir().map_err(InstanceError::during("creating a temporary directory"))?;
         let next_id = Arc::new(AtomicU64::new(1));
@@ -221,7 +222,7 @@
         };
         let listen = started.forwarders[0].addresses.listen;
         let expected = self.point.held;
-        // The first message to each destination is rejected with a Retry-After delay. Later ones wait for its end.
+        // The first message to each destination is rejected with a Retry-After. Later ones wait for its end.
         let first = self.plan.rejecting_destinations.min(expected);
         let mut accepted = self.submit_held_messages(listen, first).await?;
         if accepted == first {
@@ -359,7 +360,7 @@
     )))
 }
 
-/// CPU time per process and second over a period, the mean over the processes.
+/// CPU time per process and second over an idle period, the mean over the processes.
 async fn measure_idle_cpu(forwarders: &[Forwarder], duration: Duration) -> Result<f64, InstanceError> {
     let (started_at, cpu_time_before) = (Instant::now(), total_cpu_time(forwarders)?);
     sleep(duration).await;
--- a/tests/forwarder/hot_restart.rs
+++ b/tests/forwarder/hot_restart.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_hot_restart_loses_duplicates_and_refuses_no_message() {
+fn no_message_is_lost_duplicated_or_refused_by_a_hot_restart() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(20), 200));
     let done = AtomicBool::new(false);
     let listen_address = forwarder.listen_address;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_call_in_flight_ends_once_in_the_metrics_of_the_successor() {
+fn a_call_in_flight_is_counted_once_by_the_successor() {
     let (target, discovery, mut forwarder) = start_with_one_target(|_| Response::Delayed(MILLIS(1_000), 200));
     assert_eq!(forwarder.submit(&fee_message("slow")), 202);
     wait_until("the target receives the call", || target.message_ids() == ["slow"]);
@@ -112,7 +112,7 @@
         assert_eq!(forwarder.submit(&fee_message(&format!("n{n}")).to(2)), 202);
     }
     wait_until("the target receives the calls", || other.requests().len() == 6);
-    wait_until("the target receives a call after its retry-after", || rejecting.requests().len() == 2);
+    wait_until("the target receives a call after its Retry-After", || rejecting.requests().len() == 2);
     assert!(rejecting.requests()[1].received_at - rejecting.requests()[0].received_at >= MILLIS(4_000));
     assert!(disabled.requests().is_empty());
     assert_eq!(status_code(&forwarder.admin_request("POST", "/-/endpoints/s-3/enable")), "200");
