--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -183,7 +183,7 @@
             }
             Event::Restored { id, class, destination, order_key, expires, attempts, first_run } => {
                 let attempts = attempts.into_iter().map(Attempt::before_restart).collect();
-                let (class, first_run) = (class as usize, first_run);
+                let class = class as usize;
                 let message = Message {
                     class,
                     destination,
